--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/directory_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/directory_service.py
@@ -114,7 +114,7 @@
         """Return a registered target, None if there is none."""
         return self.directory.entry_by_id.get(target_id)
 
-    def usable(self, service: str) -> list[TargetEntry]:
+    def usable_targets(self, service: str) -> list[TargetEntry]:
         """Return the targets of a service that may get work."""
         return [
             entry
@@ -122,7 +122,7 @@
             if not entry.is_draining and entry.domain not in self._fleet.evacuated
         ]
 
-    def may_use(self, target_id: str) -> bool:
+    def is_usable(self, target_id: str) -> bool:
         """Tell whether a target may get work."""
         entry = self.entry(target_id)
         return (
@@ -131,7 +131,7 @@
             and entry.domain not in self._fleet.evacuated
         )
 
-    def leaving_s(self, target_id: str) -> float:
+    def unusable_s(self, target_id: str) -> float:
         """Return for how long a target is known to get no new work, in s."""
         since = self._leaving_since.get(target_id)
         return 0.0 if since is None else now_s() - since
@@ -224,11 +224,11 @@
                 pool.shut("The target is gone.")
         self._tell_change()
 
-    def last_entry(self, target_id: str) -> TargetEntry | None:
+    def last_known_entry(self, target_id: str) -> TargetEntry | None:
         """Return a target's entry, or the last one if it lapsed."""
         return self.entry(target_id) or self._last_entry_by_id.get(target_id)
 
-    def prove(self, entry: TargetEntry) -> None:
+    def confirm_entry(self, entry: TargetEntry) -> None:
         """Take note that a target answered under its own name."""
         if self.directory.confirm(entry, now_s()):
             log_decision("target_proven", target=entry.target_id)
@@ -279,7 +279,7 @@
     def _track_leaving(self) -> None:
         now = now_s()
         for target_id in self.directory.entry_by_id:
-            if self.may_use(target_id):
+            if self.is_usable(target_id):
                 self._leaving_since.pop(target_id, None)
             else:
                 self._leaving_since.setdefault(target_id, now)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/duty_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/duty_service.py
@@ -154,7 +154,7 @@
             # silent.
             self._holder_lost_at = None
             return
-        contacts = self._links.contacts()
+        contacts = self._links.live_peers()
         if (
             duty is not None
             and duty.holder in contacts
@@ -179,7 +179,7 @@
         wanted = {
             vm
             for vm, member in self._fleet.state.member_by_vm().items()
-            if self._links.is_wanted(vm) and not member.is_out
+            if self._links.is_peer(vm) and not member.is_out
         }
         reached = len(wanted & contacts) + 1
         total = len(wanted) + 1
@@ -230,10 +230,10 @@
             callback()
 
     def _track_silence(self, now: float) -> None:
-        contacts = self._links.contacts()
+        contacts = self._links.live_peers()
         members = self._fleet.state.member_by_vm()
         for vm in set(members) | set(self._silent_since):
-            if vm in members and vm not in contacts and self._links.is_wanted(vm):
+            if vm in members and vm not in contacts and self._links.is_peer(vm):
                 self._silent_since.setdefault(vm, now)
             else:
                 self._silent_since.pop(vm, None)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_messages.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_messages.py
@@ -98,7 +98,7 @@
     rows: list[SharedRow]
 
 
-class Stopped(msgspec.Struct, frozen=True, tag="stopped"):
+class PrimaryUseStopped(msgspec.Struct, frozen=True, tag="stopped"):
     """The sender no longer uses a primary whose row was marked."""
 
     vm: str
@@ -201,7 +201,7 @@
     Hello
     | Pulse
     | FleetRows
-    | Stopped
+    | PrimaryUseStopped
     | TableRequest
     | TableAnswer
     | TokenRequest
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_service.py
@@ -305,7 +305,7 @@
             members,
             duty.holder if duty is not None else "",
         )
-        self._links.want({vm: members[vm] for vm in peers if vm in members})
+        self._links.set_peers({vm: members[vm] for vm in peers if vm in members})
 
     async def _follow_orders(self) -> None:
         while not self.is_stopping:
@@ -363,7 +363,7 @@
 
     def observer(self) -> str:
         """Return the VM of the own failure domain that follows the store."""
-        return self.state.observer(self._settings.domain, self._links.contacts())
+        return self.state.observer(self._settings.domain, self._links.live_peers())
 
     def last_pulse(self, vm: str) -> tuple[float, Pulse]:
         """Return a VM's last pulse and its age in s."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/lead_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/lead_service.py
@@ -14,7 +14,7 @@
 )
 from guavabarrow_core.freshness import Observation, PrimaryHistory
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
-from guavabarrow_daemon.fleet.fleet_messages import Stopped
+from guavabarrow_daemon.fleet.fleet_messages import PrimaryUseStopped
 from guavabarrow_daemon.fleet.fleet_service import FleetService
 from guavabarrow_daemon.fleet.peer_links import PeerLinks
 from guavabarrow_daemon.kernel import Kernel, Service
@@ -73,7 +73,7 @@
         if not self._fleet.state.may_use_primary(service, now_s()):
             return None
         lead = self._fleet.state.primary_row(service)
-        if lead is None or self._directory.leaving_s(lead.primary_id) > LEAVING_S:
+        if lead is None or self._directory.unusable_s(lead.primary_id) > LEAVING_S:
             return None
         return self._directory.entry(lead.primary_id)
 
@@ -175,7 +175,7 @@
     def _send_stopped(self, service: str, version: int) -> None:
         state = self._fleet.state
         duty = state.duty()
-        message = Stopped(state.vm, state.incarnation, service, version)
+        message = PrimaryUseStopped(state.vm, state.incarnation, service, version)
         if duty is not None and duty.holder != state.vm:
             self._links.send(duty.holder, message)
         for callback in self.on_stopped:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/peer_links.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/peer_links.py
@@ -149,7 +149,7 @@
         for link in list(self._link_by_vm.values()):
             link.abort()
 
-    def want(self, members: dict[str, MemberRow]) -> None:
+    def set_peers(self, members: dict[str, MemberRow]) -> None:
         """Take the VMs to be linked to, and dial those whose link is missing."""
         self._wanted = members
         for vm in list(self._link_by_vm):
@@ -157,7 +157,7 @@
                 self._link_by_vm.pop(vm).abort()
         self.dial_missing()
 
-    def is_wanted(self, vm: str) -> bool:
+    def is_peer(self, vm: str) -> bool:
         """Tell whether this VM should be linked to another one."""
         return vm in self._wanted
 
@@ -171,7 +171,7 @@
             if self.hello.vm < vm and vm not in self._link_by_vm:
                 self._dial(member)
 
-    def contacts(self) -> frozenset[str]:
+    def live_peers(self) -> frozenset[str]:
         """Return the VMs that were heard lately."""
         horizon = now_s() - CONTACT_S
         return frozenset(
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_watch.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_watch.py
@@ -55,7 +55,7 @@
     def is_lost(self, target_id: str, now: float) -> bool:
         """Tell whether a primary should be replaced."""
         evidence = self._evidence(target_id)
-        contacts = self._links.contacts()
+        contacts = self._links.live_peers()
         return evidence.is_lost(now, votes=evidence.votes(now), others=len(contacts))
 
     def is_back(self, target_id: str, now: float) -> bool:
@@ -88,7 +88,7 @@
             if not isinstance(lead, PrimaryRow):
                 continue
             primaries.add(lead.primary_id)
-            entry = self._directory.last_entry(lead.primary_id)
+            entry = self._directory.last_known_entry(lead.primary_id)
             if entry is not None and self._is_due(lead, now):
                 self._probing.add(lead.primary_id)
                 Deferred.fromCoroutine(self._probe(entry))
@@ -121,7 +121,7 @@
             connection.close()
             lead = self._fleet.state.primary_row(entry.service)
             if lead is not None and lead.phase is PrimaryPhase.MOVING:
-                self._directory.prove(entry)
+                self._directory.confirm_entry(entry)
         except TargetUnreachable as error:
             result = ProbeResult.REFUSED if error.is_refused else ProbeResult.SILENT
             log_decision(
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/promotion_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/promotion_service.py
@@ -27,7 +27,7 @@
 )
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
 from guavabarrow_daemon.fleet.duty_service import DutyService
-from guavabarrow_daemon.fleet.fleet_messages import FleetMessage, Stopped
+from guavabarrow_daemon.fleet.fleet_messages import FleetMessage, PrimaryUseStopped
 from guavabarrow_daemon.fleet.fleet_service import FleetService
 from guavabarrow_daemon.fleet.lead_service import LeadService
 from guavabarrow_daemon.fleet.peer_links import PeerLinks
@@ -114,7 +114,7 @@
             return
         replicas = [
             entry
-            for entry in self._directory.usable(service)
+            for entry in self._directory.usable_targets(service)
             if entry.target_id != lead.primary_id
         ]
         if not replicas:
@@ -126,7 +126,7 @@
         elif self._watch.is_lost(lead.primary_id, now):
             reason = self._watch.describe(lead.primary_id, now)
             self._begin(lead, is_planned=False, reason=reason)
-        elif not self._directory.may_use(lead.primary_id):
+        elif not self._directory.is_usable(lead.primary_id):
             self._begin(lead, is_planned=True, reason="draining or evacuated")
         elif self._leads_elsewhere(entry, replicas, now):
             self._begin(
@@ -173,7 +173,7 @@
     ) -> None:
         candidates = tuple(
             entry.target_id
-            for entry in self._directory.usable(lead.service)
+            for entry in self._directory.usable_targets(lead.service)
             if entry.target_id != lead.primary_id
         )
         if not candidates:
@@ -223,7 +223,7 @@
                 case ReadStatuses(target_ids):
                     await self._compare(promotion, target_ids)
                 case StopPrimary(target_id, term):
-                    entry = self._directory.last_entry(target_id)
+                    entry = self._directory.last_known_entry(target_id)
                     if entry is not None:
                         Deferred.fromCoroutine(self._questions.demote(entry, term))
                 case OrderPromotion(target_id):
@@ -302,13 +302,13 @@
         asked_at = now_s()
         entries = [
             entry
-            for entry in map(self._directory.last_entry, target_ids)
+            for entry in map(self._directory.last_known_entry, target_ids)
             if entry is not None
         ]
         statuses = await self._questions.statuses(entries)
         for entry in entries:
             if entry.target_id == promotion.old_id and entry.target_id in statuses:
-                self._directory.prove(entry)
+                self._directory.confirm_entry(entry)
         actions = promotion.on_statuses(statuses, now_s())
         log_decision(
             "replicas_compared",
@@ -402,14 +402,16 @@
     # Confirmations of the VMs
 
     def _on_message(self, vm: str, message: FleetMessage) -> None:
-        if isinstance(message, Stopped):
+        if isinstance(message, PrimaryUseStopped):
             self._note_stopped(message)
 
     def _on_own_stopped(self, service: str, version: int) -> None:
         state = self._fleet.state
-        self._note_stopped(Stopped(state.vm, state.incarnation, service, version))
+        self._note_stopped(
+            PrimaryUseStopped(state.vm, state.incarnation, service, version)
+        )
 
-    def _note_stopped(self, message: Stopped) -> None:
+    def _note_stopped(self, message: PrimaryUseStopped) -> None:
         key = (message.service, message.version)
         self._stopped.setdefault(key, {})[message.vm] = message.incarnation
         if len(self._stopped) > MAX_CONFIRMATIONS:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/rate_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/rate_service.py
@@ -126,7 +126,7 @@
         if verdict is Verdict.REFUSED:
             self._refuse(self.rates.describe(team), self.rates.wait_s(team))
 
-    def give_back(self, team: str) -> None:
+    def return_token(self, team: str) -> None:
         """Return the token of an operation that reached no target."""
         self.rates.give_back(team, now_s())
 
@@ -233,7 +233,7 @@
         former = self.rates.host
         had_pool = self.rates.pool is not None
         view_by_vm = {}
-        for vm in self._links.contacts():
+        for vm in self._links.live_peers():
             if self._domain_by_vm.get(vm) == self._domain:
                 _, pulse = self._fleet.last_pulse(vm)
                 host = UNKNOWN_HOST if vm in self._unheard else pulse.pool_host
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/caller_session.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/caller_session.py
@@ -186,7 +186,7 @@
         if transaction is not None:
             Deferred.fromCoroutine(self._router.roll_back(transaction))
         elif self._has_token:
-            self._admission.rates.give_back(self._team)
+            self._admission.rates.return_token(self._team)
         self._has_token = False
         return self._done()
 
@@ -299,7 +299,7 @@
         if work is None or work.has_reached_target:
             return
         self._has_token = False
-        self._admission.rates.give_back(self._team)
+        self._admission.rates.return_token(self._team)
 
     def _done(self) -> list[Answer]:
         return [Completed(), SessionReady(self.state)]
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/target_chooser.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/target_chooser.py
@@ -85,7 +85,7 @@
         if required is not None:
             if work.session_position is not None:
                 required = max(required, work.session_position)
-            for entry in self._directory.usable(route.service):
+            for entry in self._directory.usable_targets(route.service):
                 is_primary = primary is not None and entry == primary
                 if is_primary or entry.target_id in failed:
                     continue
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/beliefs.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/beliefs.py
@@ -90,7 +90,7 @@
     fleet = kernel.find(FleetService)
     lead = kernel.find(LeadService)
     directory = kernel.find(DirectoryService)
-    contacts = kernel.find(PeerLinks).contacts()
+    contacts = kernel.find(PeerLinks).live_peers()
     suspected = directory.suspected()
     state = fleet.state
     duty = state.duty()
--- a/packages/guavabarrow-daemon/tests/sim_fleet.py
+++ b/packages/guavabarrow-daemon/tests/sim_fleet.py
@@ -17,7 +17,7 @@
     SimStore,
     SimTable,
     SimTarget,
-    publish,
+    publish_configuration,
 )
 from twisted.internet.defer import Deferred
 from twisted.internet.task import LoopingCall
@@ -79,7 +79,7 @@
                 kernel,
                 settings,
                 SimTable(fleet.store, reactor),
-                SimOrders(fleet.orders, reactor),
+                SimOrders(fleet.operator_store, reactor),
                 reactor,
                 incarnation=f"{name}.{lifetime}",
             )
@@ -140,15 +140,15 @@
 
     Attributes
     ----------
-    stale : list of str
+    stale_primary_uses : list of str
         Moments at which a VM would have used a primary after another one led.
     """
 
     def __init__(self, monkeypatch, per_domain: int = 3) -> None:
         self.network = SimNetwork()
         self.store = SimStore(self.network)
-        self.orders = SimStore(self.network)
-        publish(self.orders)
+        self.operator_store = SimStore(self.network)
+        publish_configuration(self.operator_store)
         self.network.reactor(STORE_HOST)
         targets = [
             SimTarget(f"target-{domain}", domain, f"target-{domain}", domain == "north")
@@ -157,7 +157,7 @@
         targets[1].term_led = 1
         self.group = SimGroup(self.network, self.store, targets)
         self.vm_by_name: dict[str, SimVm] = {}
-        self.stale: list[str] = []
+        self.stale_primary_uses: list[str] = []
         self._lifetimes = 0
         steady = SimpleNamespace(
             CLOCK_BOOTTIME=0, clock_gettime=lambda clock_id: self.network.now
@@ -195,7 +195,7 @@
             self._judge()
         return self.network.now - began_at
 
-    def is_served_by(self, target_id: str = "") -> bool:
+    def is_serving(self, target_id: str = "") -> bool:
         """Tell whether all VMs may use the leader, or a given target."""
         wanted = target_id or self.group.leader.target_id
         leads = self.group.leader.target_id == wanted and self.group.leader.is_alive
@@ -206,25 +206,25 @@
         known = (vm.configuration_version for vm in self.vm_by_name.values())
         return all(other >= version for other in known)
 
-    def settle(self) -> None:
+    def wait_until_serving(self) -> None:
         """Wait until the fleet serves writes everywhere."""
-        self.run_until(self.is_served_by, 15.0)
+        self.run_until(self.is_serving, 15.0)
 
-    def cut_domain(self, domain: str, *, store: bool = True) -> None:
+    def isolate_domain(self, domain: str, *, from_store: bool = True) -> None:
         """Cut a failure domain's VMs and target off from everything outside of it."""
         inside = {
             *(name for name in self._hosts() if name.startswith(f"{domain}-")),
             f"target-{domain}",
         }
-        self._cut(lambda host: host in inside, keeps_store=not store)
+        self._cut(lambda host: host in inside, keeps_store=not from_store)
 
-    def cut_vm(self, name: str) -> None:
+    def isolate_vm(self, name: str) -> None:
         """Cut one VM off from everything."""
         self._cut(lambda host: host == name)
 
     def heal(self) -> None:
         """End all cuts."""
-        self.network.is_cut = lambda one, other: False
+        self.network.is_blocked = lambda one, other: False
 
     def target(self, domain: str) -> SimTarget:
         """Return the target of a failure domain."""
@@ -235,12 +235,12 @@
         holders = [vm.name for vm in self.vm_by_name.values() if vm.holds_duty]
         return holders[0] if holders else ""
 
-    def assert_safe(self) -> None:
+    def assert_invariants(self) -> None:
         """Check what must hold at all times."""
-        assert self.stale == []
+        assert self.stale_primary_uses == []
         holder_by_token: dict[int, str] = {}
         newest = 0
-        for holder, token in self.group.orders:
+        for holder, token in self.group.promotion_calls:
             assert holder_by_token.setdefault(token, holder) == holder
             assert token >= newest, "an older fencing token came after a newer one"
             newest = token
@@ -249,12 +249,12 @@
         return list(self.vm_by_name)
 
     def _cut(self, is_inside: Callable[[str], bool], *, keeps_store=False) -> None:
-        def is_cut(one: str, other: str) -> bool:
+        def is_blocked(one: str, other: str) -> bool:
             if keeps_store and STORE_HOST in (one, other):
                 return False
             return is_inside(one) != is_inside(other)
 
-        self.network.is_cut = is_cut
+        self.network.is_blocked = is_blocked
 
     def _judge(self) -> None:
         for target in self.group.targets:
@@ -263,4 +263,6 @@
         for vm in self.vm_by_name.values():
             used = vm.primary()
             if used and used != leader:
-                self.stale.append(f"{self.network.now:.2f} {vm.name} used {used}")
+                self.stale_primary_uses.append(
+                    f"{self.network.now:.2f} {vm.name} used {used}"
+                )
--- a/packages/guavabarrow-daemon/tests/sim_network.py
+++ b/packages/guavabarrow-daemon/tests/sim_network.py
@@ -32,9 +32,9 @@
 
     Attributes
     ----------
-    is_cut : callable
+    is_blocked : callable
         Tells whether nothing passes from one host to another.
-    resets : bool
+    resets_connections : bool
         Whether a cut refuses connections instead of leaving them unanswered.
     bytes_per_s_by_host : dict of str to float
         What the link of a host carries in each direction; unlimited if missing.
@@ -42,8 +42,8 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.is_cut: Callable[[str, str], bool] = lambda one, other: False
-        self.resets = False
+        self.is_blocked: Callable[[str, str], bool] = lambda one, other: False
+        self.resets_connections = False
         self.reactor_by_host: dict[str, SimReactor] = {}
         self.suspended: set[str] = set()
         self.factory_by_address: dict[tuple[str, int], Any] = {}
@@ -85,7 +85,7 @@
             if transport.host == host:
                 transport.lose(ConnectionLost(), tells_own=False)
 
-    def silence_connections(self, host: str) -> None:
+    def blackhole_connections(self, host: str) -> None:
         """Let a host's present connections go silent for good."""
         for transport in self.transports:
             if host in (transport.host, transport.peer_host):
@@ -172,15 +172,15 @@
         network = self._reactor.network
         host = self._address[0]
         own = self._reactor.host
-        is_cut = network.is_cut(own, host) or network.is_cut(host, own)
-        if (is_cut and not network.resets) or host in network.suspended:
+        is_blocked = network.is_blocked(own, host) or network.is_blocked(host, own)
+        if (is_blocked and not network.resets_connections) or host in network.suspended:
             if self._reactor.seconds() >= self._until:
                 self._fail(TimeoutError())
             else:
                 self._reactor.callLater(RETRANSMIT_S, self._try)
             return
         factory = network.factory_by_address.get(self._address)
-        if is_cut or factory is None:
+        if is_blocked or factory is None:
             self._fail(ConnectionRefusedError())
             return
         self._is_over = True
@@ -244,8 +244,12 @@
             return
         network = self._reactor.network
         self._end(error, tells=tells_own)
-        is_cut = network.is_cut(self.host, self.peer_host) or self.is_silent
-        delay = SILENCE_LIMIT_S if is_cut and not network.resets else LATENCY_S
+        is_blocked = network.is_blocked(self.host, self.peer_host) or self.is_silent
+        delay = (
+            SILENCE_LIMIT_S
+            if is_blocked and not network.resets_connections
+            else LATENCY_S
+        )
         peer = self.peer
         peer._reactor.callLater(delay, peer._end, ConnectionLost())
 
@@ -270,11 +274,11 @@
         if not self.is_open or not self._outgoing or self._reactor.is_gone:
             return
         network = self._reactor.network
-        if network.is_cut(self.host, self.peer_host) or self.is_silent:
+        if network.is_blocked(self.host, self.peer_host) or self.is_silent:
             now = network.now
             if self._held_since is None:
                 self._held_since = now
-            if network.resets or now - self._held_since > SILENCE_LIMIT_S:
+            if network.resets_connections or now - self._held_since > SILENCE_LIMIT_S:
                 self.lose(ConnectionLost())
                 return
             self._reactor.callLater(RETRANSMIT_S, self._deliver)
--- a/packages/guavabarrow-daemon/tests/sim_platform.py
+++ b/packages/guavabarrow-daemon/tests/sim_platform.py
@@ -45,15 +45,15 @@
 
     Attributes
     ----------
-    away_from : set of str
+    unreachable_from : set of str
         Hosts that get no answer.
-    late_s : float
+    write_delay_s : float
         How long writes take effect after their caller has given up, 0 for at once.
-    loses_answers : bool
+    drops_write_replies : bool
         Whether answers to writes are lost.
-    slow_s : float
+    extra_latency_s : float
         How much longer each call takes.
-    dropped_before : int
+    compacted_version : int
         Changes up to this version are no longer known.
     """
 
@@ -61,19 +61,19 @@
         self.network = network
         self.row_by_key: dict[str, TableRow] = {}
         self.version = 1
-        self.away_from: set[str] = set()
-        self.late_s = 0.0
-        self.loses_answers = False
-        self.slow_s = 0.0
-        self.dropped_before = 0
+        self.unreachable_from: set[str] = set()
+        self.write_delay_s = 0.0
+        self.drops_write_replies = False
+        self.extra_latency_s = 0.0
+        self.compacted_version = 0
 
     def answers(self, host: str) -> bool:
         """Tell whether a host gets answers."""
-        is_cut = self.network.is_cut
+        is_blocked = self.network.is_blocked
         return not (
-            host in self.away_from
-            or is_cut(host, STORE_HOST)
-            or is_cut(STORE_HOST, host)
+            host in self.unreachable_from
+            or is_blocked(host, STORE_HOST)
+            or is_blocked(STORE_HOST, host)
         )
 
     def apply(self, key: str, value: bytes | None, expected: int) -> Written:
@@ -111,7 +111,7 @@
     async def watch(self, after: int, wait_s: float) -> TableReading:
         """Wait for changes."""
         await self._reach()
-        if after < self._store.dropped_before:
+        if after < self._store.compacted_version:
             raise HistoryDropped
         until = self._reactor.seconds() + wait_s
         while self._store.version <= after and self._reactor.seconds() < until:
@@ -121,14 +121,14 @@
     async def write(self, key: str, value: bytes | None, expected: int) -> Written:
         """Write a row."""
         store = self._store
-        if store.late_s > 0.0:
+        if store.write_delay_s > 0.0:
             clock = store.network.reactor_by_host[STORE_HOST]
-            clock.callLater(store.late_s, store.apply, key, value, expected)
+            clock.callLater(store.write_delay_s, store.apply, key, value, expected)
             await self._pause(TIMEOUT_S)
             raise StoreUnavailable("no answer", is_undone=False)
         await self._reach()
         written = store.apply(key, value, expected)
-        if store.loses_answers:
+        if store.drops_write_replies:
             await self._pause(TIMEOUT_S)
             raise StoreUnavailable("the answer was lost", is_undone=False)
         return await self._return(written)
@@ -137,7 +137,7 @@
         if not self._store.answers(self._reactor.host):
             await self._pause(TIMEOUT_S)
             raise StoreUnavailable("no answer", is_undone=True)
-        await self._pause(CALL_S / 2 + self._store.slow_s)
+        await self._pause(CALL_S / 2 + self._store.extra_latency_s)
 
     async def _return(self, answer: Any) -> Any:
         rows = answer.rows if isinstance(answer, TableReading) else []
@@ -181,7 +181,7 @@
         return OperatorOrders(configuration, frozenset())
 
 
-def publish(store: SimStore, size: int = 100) -> int:
+def publish_configuration(store: SimStore, size: int = 100) -> int:
     """Write the next configuration and return its version."""
     row = store.row_by_key.get(CONFIGURATION_KEY)
     expected = row.version if row is not None else 0
@@ -202,7 +202,7 @@
     term_led: int = 0
     is_alive: bool = True
     beat_at: float = 0.0
-    is_unlisted: bool = False
+    is_unregistered: bool = False
 
 
 @dataclass
@@ -212,7 +212,7 @@
     network: SimNetwork
     store: SimStore
     targets: list[SimTarget]
-    orders: list[tuple[str, int]] = field(default_factory=list)
+    promotion_calls: list[tuple[str, int]] = field(default_factory=list)
 
     @property
     def leader(self) -> SimTarget:
@@ -221,11 +221,14 @@
 
     def last_beat(self, target: SimTarget) -> float:
         """Return when a target last wrote its entry."""
-        is_cut = self.network.is_cut
+        is_blocked = self.network.is_blocked
         if (
             target.is_alive
-            and not target.is_unlisted
-            and not (is_cut(target.host, STORE_HOST) or is_cut(STORE_HOST, target.host))
+            and not target.is_unregistered
+            and not (
+                is_blocked(target.host, STORE_HOST)
+                or is_blocked(STORE_HOST, target.host)
+            )
         ):
             target.beat_at = self.network.now - self.network.now % BEAT_S
         return target.beat_at
@@ -290,7 +293,7 @@
         group = self._group
         target = next(t for t in group.targets if t.target_id == target_id)
         await deferLater(self._reactor, CALL_S, lambda: None)
-        group.orders.append((holder, fencing_token))
+        group.promotion_calls.append((holder, fencing_token))
         if not target.is_alive:
             raise PromotionRefused(target_id)
         clock = group.network.reactor_by_host[STORE_HOST]
@@ -306,9 +309,9 @@
 
     def reaches(self, target: SimTarget) -> bool:
         """Tell whether a target can be reached from this VM."""
-        is_cut = self._group.network.is_cut
+        is_blocked = self._group.network.is_blocked
         own = self._reactor.host
-        return not (is_cut(own, target.host) or is_cut(target.host, own))
+        return not (is_blocked(own, target.host) or is_blocked(target.host, own))
 
     async def dial(self, entry: TargetEntry) -> Any:
         """Open a connection."""
--- a/packages/guavabarrow-daemon/tests/test_duty_service.py
+++ b/packages/guavabarrow-daemon/tests/test_duty_service.py
@@ -44,13 +44,13 @@
         Service.__init__(self, kernel)
         self.in_contact = OTHERS | {HOLDER, GONE}
 
-    def contacts(self) -> frozenset[str]:
+    def live_peers(self) -> frozenset[str]:
         return self.in_contact
 
     def incarnation_of(self, vm: str) -> str:
         return "1"
 
-    def is_wanted(self, vm: str) -> bool:
+    def is_peer(self, vm: str) -> bool:
         return vm != OWN
 
 
