--- a/packages/guavabarrow-core/src/guavabarrow_core/group_monitor.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/group_monitor.py
@@ -229,11 +229,11 @@
         self._highest_refused_term = 0
 
     @property
-    def holds_writes(self) -> bool:
+    def pauses_writes(self) -> bool:
         """Whether new writes must wait because the primary is being moved."""
         return self._handover_since is not None
 
-    def silent_s(self, database: str, now: float) -> float:
+    def since_answer_s(self, database: str, now: float) -> float:
         """Return for how long a database has not answered, seconds."""
         return now - self._contact(database).heard_at
 
--- a/packages/guavabarrow-core/src/guavabarrow_core/group_view.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/group_view.py
@@ -201,7 +201,7 @@
                 return lineages[self.majority - 1]
         return None
 
-    def proven_as_of(self, report: DatabaseReport) -> float:
+    def safe_time(self, report: DatabaseReport) -> float:
         """Return the time up to which a database holds all acknowledged writes.
 
         Only monotonic time of this VM and answers of a majority enter, so neither
--- a/packages/guavabarrow-core/src/guavabarrow_core/history.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/history.py
@@ -18,7 +18,7 @@
     from collections.abc import Iterable, Sequence
 
 
-class Promise(Enum):
+class Guarantee(Enum):
     """Promise that a violation breaks."""
 
     READ_YOUR_WRITES = "read-your-writes"
@@ -34,12 +34,12 @@
 class Violation:
     """A broken promise."""
 
-    promise: Promise
+    guarantee: Guarantee
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
-class WriteSeen:
+class ObservedWrite:
     """A write as its caller saw it.
 
     Parameters
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReadSeen:
+class ObservedRead:
     """A successful read as its caller saw it.
 
     Parameters
@@ -95,14 +95,14 @@
     Examples
     --------
     >>> history = History()
-    >>> history.writes.append(WriteSeen("s", "w1", 0.0, 1.0, ExecutionStatus.RAN))
-    >>> history.reads.append(ReadSeen("s", frozenset(), 2.0, 3.0))
-    >>> [violation.promise.name for violation in history.check(["w1"])]
+    >>> history.writes.append(ObservedWrite("s", "w1", 0.0, 1.0, ExecutionStatus.RAN))
+    >>> history.reads.append(ObservedRead("s", frozenset(), 2.0, 3.0))
+    >>> [violation.guarantee.name for violation in history.check(["w1"])]
     ['READ_YOUR_WRITES']
     """
 
-    writes: list[WriteSeen] = field(default_factory=list)
-    reads: list[ReadSeen] = field(default_factory=list)
+    writes: list[ObservedWrite] = field(default_factory=list)
+    reads: list[ObservedRead] = field(default_factory=list)
 
     def check(self, final_rows: Iterable[str]) -> list[Violation]:
         """Return all broken promises.
@@ -130,29 +130,29 @@
             count = counts[write.row]
             if write.ran is ExecutionStatus.RAN and count == 0:
                 violations.append(
-                    Violation(Promise.ACKNOWLEDGED_WRITE_KEPT, f"{write} is gone")
+                    Violation(Guarantee.ACKNOWLEDGED_WRITE_KEPT, f"{write} is gone")
                 )
             if count > 1:
                 violations.append(
-                    Violation(Promise.AT_MOST_ONCE, f"{write} ran {count} times")
+                    Violation(Guarantee.AT_MOST_ONCE, f"{write} ran {count} times")
                 )
             if write.ran is ExecutionStatus.NOT_RUN and count > 0:
-                violations.append(Violation(Promise.NOT_RUN_IS_TRUE, f"{write} ran"))
+                violations.append(Violation(Guarantee.NOT_RUN_IS_TRUE, f"{write} ran"))
         return violations
 
     def _check_reads(self) -> list[Violation]:
         violations = []
-        writes_by_session: dict[str, list[WriteSeen]] = {}
+        writes_by_session: dict[str, list[ObservedWrite]] = {}
         for write in self.writes:
             if write.ran is ExecutionStatus.RAN:
                 writes_by_session.setdefault(write.session, []).append(write)
         for read in self.reads:
             if read.asked_nonce != read.answered_nonce:
-                violations.append(Violation(Promise.OWN_ANSWER, f"{read}"))
+                violations.append(Violation(Guarantee.OWN_ANSWER, f"{read}"))
             for write in writes_by_session.get(read.session, ()):
                 if write.answered_at <= read.sent_at and write.row not in read.rows:
                     detail = f"{write.row} is not in the read sent at {read.sent_at}"
-                    violations.append(Violation(Promise.READ_YOUR_WRITES, detail))
+                    violations.append(Violation(Guarantee.READ_YOUR_WRITES, detail))
         return violations
 
     def _check_stated_age(self) -> list[Violation]:
@@ -167,7 +167,7 @@
             for write in acknowledged:
                 if write.answered_at < limit and write.row not in read.rows:
                     detail = f"{write.row} is missing from {read.sent_at}"
-                    violations.append(Violation(Promise.STATED_AGE, detail))
+                    violations.append(Violation(Guarantee.STATED_AGE, detail))
         return violations
 
 
@@ -208,4 +208,4 @@
             if excess > max(worst, 1e-6):
                 worst = excess
                 detail = f"{count} in {end - start:.3f} s, {excess:.1f} too many"
-    return [Violation(Promise.RATE, detail)] if detail else []
+    return [Violation(Guarantee.RATE, detail)] if detail else []
--- a/packages/guavabarrow-core/src/guavabarrow_core/membership.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/membership.py
@@ -113,7 +113,7 @@
         self._ticked_at = now
         self._next_digest = 0
 
-    def beat(self, now: float, **changes: object) -> list[HeartbeatDigest]:
+    def advance(self, now: float, **changes: object) -> list[HeartbeatDigest]:
         """Advance the own heartbeat and age the others.
 
         Parameters
@@ -180,7 +180,7 @@
             return MemberState.SUSPECT
         return MemberState.ALIVE
 
-    def silent_s(self, vm: str) -> float:
+    def since_heartbeat_s(self, vm: str) -> float:
         """Return for how long ``vm`` was silent while this VM was awake, seconds."""
         return self._silent_s.get(vm, FORGET_S)
 
--- a/packages/guavabarrow-core/src/guavabarrow_core/peer_topology.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/peer_topology.py
@@ -14,11 +14,11 @@
 if TYPE_CHECKING:
     from guavabarrow_core.fleet_state import MemberRow
 
-ANCHORS_PER_DOMAIN = 3
+HUBS_PER_DOMAIN = 3
 """Two may be lost at the same moment before other domains lose touch with one."""
 
 
-def anchors_by_domain(members: dict[str, MemberRow]) -> dict[str, tuple[str, ...]]:
+def hubs_by_domain(members: dict[str, MemberRow]) -> dict[str, tuple[str, ...]]:
     """Return the VMs of each failure domain that other domains are linked to.
 
     Parameters
@@ -36,7 +36,7 @@
         if not members[vm].is_out:
             names_by_domain.setdefault(members[vm].domain, []).append(vm)
     return {
-        domain: tuple(names[:ANCHORS_PER_DOMAIN])
+        domain: tuple(names[:HUBS_PER_DOMAIN])
         for domain, names in names_by_domain.items()
     }
 
@@ -60,12 +60,12 @@
     >>> peers_to_link("a", "north", {}, "")
     frozenset()
     """
-    anchors = anchors_by_domain(members)
-    everywhere = {name for names in anchors.values() for name in names} | {holder}
-    if vm in everywhere:
+    hubs = hubs_by_domain(members)
+    linked_to_all = {name for names in hubs.values() for name in names} | {holder}
+    if vm in linked_to_all:
         return frozenset(members) - {vm}
     return frozenset(
         name
         for name, member in members.items()
-        if name != vm and (member.domain == domain or name in everywhere)
+        if name != vm and (member.domain == domain or name in linked_to_all)
     )
--- a/packages/guavabarrow-core/src/guavabarrow_core/primary_evidence.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/primary_evidence.py
@@ -39,7 +39,7 @@
     --------
     >>> evidence = PrimaryEvidence()
     >>> evidence.record_probe(ProbeResult.REFUSED, 1.0)
-    >>> [evidence.is_lost(now, votes=0, others=8) for now in (1.0, 1.3)]
+    >>> [evidence.is_failed(now, votes=0, others=8) for now in (1.0, 1.3)]
     [False, True]
     """
 
@@ -65,13 +65,13 @@
         horizon = now - VOTE_VALID_S
         return sum(at > horizon for at in self.vote_at_by_vm.values())
 
-    def is_back(self, now: float) -> bool:
+    def is_reachable(self, now: float) -> bool:
         """Tell whether the primary lately answered a probe."""
         return (
             self.probe is ProbeResult.ANSWERED and now - self.probed_at < PROBE_VALID_S
         )
 
-    def is_lost(self, now: float, *, votes: int, others: int) -> bool:
+    def is_failed(self, now: float, *, votes: int, others: int) -> bool:
         """Tell whether the primary should be replaced.
 
         Parameters
--- a/packages/guavabarrow-core/src/guavabarrow_core/promotion.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/promotion.py
@@ -18,10 +18,10 @@
 STATUS_INTERVAL_S = 0.03
 """Pause between two looks at the replicas while a planned move waits for one."""
 
-CATCH_UP_S = 1.0
+CATCH_UP_TIMEOUT_S = 1.0
 """Longest wait of a planned move for its chosen replica."""
 
-CONFIRM_LEAD_S = 2.0
+PROMOTION_TIMEOUT_S = 2.0
 """Longest wait until a promoted target says that it leads; twice the longest time
 that a deployment states for a promotion."""
 
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopPrimary:
+class DemotePrimary:
     """Tell the old primary that a newer term begins."""
 
     target_id: str
@@ -59,21 +59,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrderPromotion:
+class RequestPromotion:
     """Ask the platform to let a target lead."""
 
     target_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class MarkSettled:
     """Write the row as settled."""
 
     primary_id: str
     term: int
 
 
-PromotionAction = MarkMoving | ReadStatuses | StopPrimary | OrderPromotion | Settle
+PromotionAction = (
+    MarkMoving | ReadStatuses | DemotePrimary | RequestPromotion | MarkSettled
+)
 
 
 @dataclass(slots=True)
@@ -82,7 +84,7 @@
 
     Parameters
     ----------
-    service, old_id : str
+    service, old_primary_id : str
         Service and its primary.
     term : int
         Term of the old primary.
@@ -92,17 +94,17 @@
         Replicas that may lead, preferred ones first.
     is_resumed : bool
         Whether another VM began it and may have ordered a promotion.
-    is_by_votes : bool
+    is_failed_by_vote : bool
         Whether other VMs can't use the old primary although this one may reach it.
     """
 
     service: str
-    old_id: str
+    old_primary_id: str
     term: int
     is_planned: bool
     candidates: tuple[str, ...]
     is_resumed: bool = False
-    is_by_votes: bool = False
+    is_failed_by_vote: bool = False
     stage: PromotionStage = PromotionStage.MARKING
     chosen_id: str = ""
     started_at: float = 0.0
@@ -131,18 +133,18 @@
         return [ReadStatuses(self._asked())]
 
     @property
-    def may_revert(self) -> bool:
+    def can_revert(self) -> bool:
         """Whether the old primary may go on: nothing was ordered yet."""
-        is_early = self.stage is PromotionStage.STOPPING
-        by_choice = self.is_planned or self.is_resumed or self.is_by_votes
-        return is_early and not by_choice
+        nothing_requested = self.stage is PromotionStage.STOPPING
+        must_replace = self.is_planned or self.is_resumed or self.is_failed_by_vote
+        return nothing_requested and not must_replace
 
-    def on_primary_back(self) -> list[PromotionAction]:
+    def on_primary_recovered(self) -> list[PromotionAction]:
         """Handle that the old primary can be used again; too late once promoting."""
-        if not self.may_revert:
+        if not self.can_revert:
             return []
         self.stage = PromotionStage.REVERTING
-        return [Settle(self.old_id, self.term)]
+        return [MarkSettled(self.old_primary_id, self.term)]
 
     def on_statuses(
         self, status_by_id: dict[str, TargetStatus], now: float
@@ -155,30 +157,33 @@
         if leader is not None:
             self.stage = PromotionStage.SETTLING
             self.chosen_id = leader
-            return [Settle(leader, self.status_by_id[leader].term)]
-        old = status_by_id.get(self.old_id)
+            return [MarkSettled(leader, self.status_by_id[leader].term)]
+        old = status_by_id.get(self.old_primary_id)
         if old is not None and old.is_primary:
             if self._may_keep(old):
                 self.stage = PromotionStage.REVERTING
-                return [Settle(self.old_id, self.term)]
+                return [MarkSettled(self.old_primary_id, self.term)]
             self.final_position = old.received
         chosen = self._most_advanced()
         waited_s = now - self.compared_at
         if chosen is None:
             return [ReadStatuses(self._asked())]
-        if not self._is_caught_up(chosen) and waited_s < CATCH_UP_S:
+        if not self._is_caught_up(chosen) and waited_s < CATCH_UP_TIMEOUT_S:
             return [ReadStatuses(self._asked())]
         self.chosen_id = chosen
         self.stage = PromotionStage.PROMOTING
         next_term = max([self.term, *(s.term for s in self.status_by_id.values())])
-        return [StopPrimary(self.old_id, next_term + 1), OrderPromotion(chosen)]
+        return [
+            DemotePrimary(self.old_primary_id, next_term + 1),
+            RequestPromotion(chosen),
+        ]
 
     def on_promoted(self, term: int) -> list[PromotionAction]:
         """Handle that the chosen target leads with ``term``."""
         if self.stage is not PromotionStage.PROMOTING:
             return []
         self.stage = PromotionStage.SETTLING
-        return [Settle(self.chosen_id, term)]
+        return [MarkSettled(self.chosen_id, term)]
 
     def on_refused(self, now: float) -> list[PromotionAction]:
         """Handle that the chosen target doesn't run; look for another one."""
@@ -203,11 +208,11 @@
         answer at the same moment; promoting then would only roll commits back.
         """
         is_unharmed = old.term == self.term and not self.refused_ids
-        by_choice = self.is_planned or self.is_resumed or self.is_by_votes
-        return is_unharmed and not by_choice
+        must_replace = self.is_planned or self.is_resumed or self.is_failed_by_vote
+        return is_unharmed and not must_replace
 
     def _asked(self) -> tuple[str, ...]:
-        return (*self.candidates, self.old_id)
+        return (*self.candidates, self.old_primary_id)
 
     def _leader_elsewhere(self) -> str | None:
         for target_id in self.candidates:
@@ -217,14 +222,14 @@
         return None
 
     def _most_advanced(self) -> str | None:
-        known = [
+        compared = [
             target_id
             for target_id in self.candidates
             if target_id in self.status_by_id and target_id not in self.refused_ids
         ]
-        if not known:
+        if not compared:
             return None
-        return max(known, key=lambda key: self.status_by_id[key].received)
+        return max(compared, key=lambda key: self.status_by_id[key].received)
 
     def _is_caught_up(self, target_id: str) -> bool:
         if not self.is_planned or self.final_position is None:
--- a/packages/guavabarrow-core/src/guavabarrow_core/read_router.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/read_router.py
@@ -152,7 +152,7 @@
     ) -> bool:
         if not report.lineage.satisfies(demand.position):
             return False
-        return view.proven_as_of(report) >= demand.oldest_as_of
+        return view.safe_time(report) >= demand.oldest_as_of
 
     def _primary(self, demand: ReadRequirement, *, view: GroupView) -> Route:
         primary = view.primary
@@ -213,7 +213,7 @@
         self, demand: ReadRequirement, *, view: GroupView, now: float
     ) -> float:
         lags = [
-            report.received_at - view.proven_as_of(report)
+            report.received_at - view.safe_time(report)
             for report in view.by_database.values()
             if report.role is Role.REPLICA and now - report.received_at < REPORT_STALE_S
         ]
--- a/packages/guavabarrow-core/tests/test_group_monitor.py
+++ b/packages/guavabarrow-core/tests/test_group_monitor.py
@@ -155,7 +155,7 @@
     def write(self) -> None:
         for vm, monitor in self.monitors.items():
             primary = monitor.view.primary
-            if primary is None or monitor.holds_writes or self.random.random() > 0.3:
+            if primary is None or monitor.pauses_writes or self.random.random() > 0.3:
                 continue
             database = self.databases[primary.database]
             if not database.is_up or not self.reaches(vm, database.name):
@@ -265,7 +265,7 @@
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        self.view.proven_as_of = lambda report: report.received_at
+        self.view.safe_time = lambda report: report.received_at
 
 
 @pytest.mark.parametrize(
@@ -433,4 +433,4 @@
     current = simulation.monitors["p"].view.primary
     assert current is not None
     assert current.database != primary
-    assert not simulation.monitors["p"].holds_writes
+    assert not simulation.monitors["p"].pauses_writes
--- a/packages/guavabarrow-core/tests/test_membership.py
+++ b/packages/guavabarrow-core/tests/test_membership.py
@@ -31,7 +31,7 @@
             for vm, member in self.members.items():
                 if vm in self.down:
                     continue
-                digests = member.beat(self.now)
+                digests = member.advance(self.now)
                 largest = max(largest, len(digests))
                 for partner in member.partners():
                     if partner.vm not in self.down:
--- a/packages/guavabarrow-core/tests/test_peer_topology.py
+++ b/packages/guavabarrow-core/tests/test_peer_topology.py
@@ -8,7 +8,7 @@
 import pytest
 
 from guavabarrow_core.fleet_state import MemberRow
-from guavabarrow_core.peer_topology import anchors_by_domain, peers_to_link
+from guavabarrow_core.peer_topology import hubs_by_domain, peers_to_link
 
 DOMAINS = ("north", "south", "west")
 
@@ -53,8 +53,8 @@
         link for link in links(members) if len({members[vm].domain for vm in link}) == 2
     ]
     full = 24 * 24 + 2 * 24 * 25
-    anchors = 9
-    assert len(between) <= anchors * len(members)
+    hubs = 9
+    assert len(between) <= hubs * len(members)
     assert len(between) < full / 3
 
 
@@ -66,11 +66,11 @@
 
 def test_a_domain_whose_anchors_are_out_has_others():
     out = frozenset({"north-00", "north-02"})
-    anchors = anchors_by_domain(fleet(5, 3, 1, out=out))
-    assert anchors["north"] == ("north-01", "north-03", "north-04")
-    assert anchors["west"] == ("west-00",)
+    hubs = hubs_by_domain(fleet(5, 3, 1, out=out))
+    assert hubs["north"] == ("north-01", "north-03", "north-04")
+    assert hubs["west"] == ("west-00",)
 
 
 def test_a_domain_with_all_its_vms_out_has_no_anchor():
     out = frozenset({"west-00"})
-    assert "west" not in anchors_by_domain(fleet(1, 1, 1, out=out))
+    assert "west" not in hubs_by_domain(fleet(1, 1, 1, out=out))
--- a/packages/guavabarrow-core/tests/test_primary_evidence.py
+++ b/packages/guavabarrow-core/tests/test_primary_evidence.py
@@ -15,7 +15,7 @@
 
 
 def lost(evidence: PrimaryEvidence, now: float, others: int = 8) -> bool:
-    return evidence.is_lost(now, votes=evidence.votes(now), others=others)
+    return evidence.is_failed(now, votes=evidence.votes(now), others=others)
 
 
 def test_a_refused_connection_is_enough_once_it_is_confirmed():
@@ -66,10 +66,10 @@
 
 def test_a_primary_is_back_only_by_a_fresh_answer():
     evidence = PrimaryEvidence()
-    assert not evidence.is_back(1.0)
+    assert not evidence.is_reachable(1.0)
     evidence.record_probe(ProbeResult.ANSWERED, 1.0)
-    assert evidence.is_back(1.1)
-    assert not evidence.is_back(1.0 + PROBE_VALID_S + 0.1)
+    assert evidence.is_reachable(1.1)
+    assert not evidence.is_reachable(1.0 + PROBE_VALID_S + 0.1)
 
 
 def test_words_of_a_while_ago_do_not_count():
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/admin_api.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/admin_api.py
@@ -207,7 +207,7 @@
         targets = []
         for name, pool in group.targets.pool_by_target.items():
             report = group.view.by_database.get(name)
-            as_of = group.view.proven_as_of(report) if report else float("-inf")
+            as_of = group.view.safe_time(report) if report else float("-inf")
             targets.append(
                 TargetStatus(
                     target=name,
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/duty_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/duty_service.py
@@ -16,7 +16,7 @@
     VersionedRow,
     member_key,
 )
-from guavabarrow_core.peer_topology import anchors_by_domain
+from guavabarrow_core.peer_topology import hubs_by_domain
 from guavabarrow_core.rendezvous import rank_of
 from guavabarrow_daemon.fleet.fleet_service import FleetService
 from guavabarrow_daemon.fleet.peer_links import PeerLinks
@@ -196,17 +196,17 @@
                 self._marked_out_at = now_s()
 
     def _rank(self, contacts: frozenset[str]) -> int:
-        """Return how many candidates come first; anchors are linked to everybody."""
-        anchors = {
+        """Return how many candidates come first; hubs are linked to everybody."""
+        hubs = {
             vm
-            for names in anchors_by_domain(self._fleet.state.member_by_vm()).values()
+            for names in hubs_by_domain(self._fleet.state.member_by_vm()).values()
             for vm in names
         }
-        candidates = contacts & anchors
+        candidates = contacts & hubs
         vm = self._fleet.state.vm
-        if vm in anchors:
+        if vm in hubs:
             return rank_of("duty", vm, candidates)
-        return len(candidates) + rank_of("duty", vm, contacts - anchors)
+        return len(candidates) + rank_of("duty", vm, contacts - hubs)
 
     def _take(self, *, acts_in_s: float) -> None:
         self._is_writing = True
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_watch.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_watch.py
@@ -52,15 +52,15 @@
         self._fleet.on_pulse.append(self._on_pulse)
         self._duty.on_check.append(self._check)
 
-    def is_lost(self, target_id: str, now: float) -> bool:
+    def is_failed(self, target_id: str, now: float) -> bool:
         """Tell whether a primary should be replaced."""
         evidence = self._evidence(target_id)
         contacts = self._links.live_peers()
-        return evidence.is_lost(now, votes=evidence.votes(now), others=len(contacts))
+        return evidence.is_failed(now, votes=evidence.votes(now), others=len(contacts))
 
-    def is_back(self, target_id: str, now: float) -> bool:
+    def is_reachable(self, target_id: str, now: float) -> bool:
         """Tell whether a primary lately answered a probe."""
-        return self._evidence(target_id).is_back(now)
+        return self._evidence(target_id).is_reachable(now)
 
     def describe(self, target_id: str, now: float) -> str:
         """Return the evidence in words."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/promotion_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/promotion_service.py
@@ -15,15 +15,15 @@
     primary_row_key,
 )
 from guavabarrow_core.promotion import (
-    CONFIRM_LEAD_S,
+    PROMOTION_TIMEOUT_S,
     STATUS_INTERVAL_S,
+    DemotePrimary,
     MarkMoving,
-    OrderPromotion,
+    MarkSettled,
     Promotion,
     PromotionStage,
     ReadStatuses,
-    Settle,
-    StopPrimary,
+    RequestPromotion,
 )
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
 from guavabarrow_daemon.fleet.duty_service import DutyService
@@ -123,7 +123,7 @@
         if entry is None:
             # It left the list without other evidence, so it is not taken back.
             self._begin(lead, is_planned=False, reason="gone", is_resumed=True)
-        elif self._watch.is_lost(lead.primary_id, now):
+        elif self._watch.is_failed(lead.primary_id, now):
             reason = self._watch.describe(lead.primary_id, now)
             self._begin(lead, is_planned=False, reason=reason)
         elif not self._directory.is_usable(lead.primary_id):
@@ -185,7 +185,7 @@
             is_planned,
             candidates,
             is_resumed,
-            is_by_votes=self._watch.is_back(lead.primary_id, now_s()),
+            is_failed_by_vote=self._watch.is_reachable(lead.primary_id, now_s()),
         )
         self._promotion_by_service[lead.service] = promotion
         log_decision(
@@ -222,13 +222,13 @@
                     await self._mark(promotion)
                 case ReadStatuses(target_ids):
                     await self._compare(promotion, target_ids)
-                case StopPrimary(target_id, term):
+                case DemotePrimary(target_id, term):
                     entry = self._directory.last_known_entry(target_id)
                     if entry is not None:
                         Deferred.fromCoroutine(self._questions.demote(entry, term))
-                case OrderPromotion(target_id):
+                case RequestPromotion(target_id):
                     await self._order(promotion, target_id)
-                case Settle(primary_id, term):
+                case MarkSettled(primary_id, term):
                     await self._settle(promotion, primary_id, term)
 
     def _is_current(self, promotion: Promotion) -> bool:
@@ -248,7 +248,7 @@
         row = PrimaryRow(
             promotion.service,
             PrimaryPhase.MOVING,
-            promotion.old_id,
+            promotion.old_primary_id,
             promotion.term,
             promotion.is_planned,
         )
@@ -275,24 +275,24 @@
             if stopped.get(vm) != member.incarnation
             and not state.lease_has_expired(member, promotion.marked_at, now)
         ]
-        is_back = self._watch.is_back(promotion.old_id, now)
+        is_reachable = self._watch.is_reachable(promotion.old_primary_id, now)
         waited_s = now - promotion.marked_at
-        if is_back and promotion.may_revert and (not missing or waited_s > 0.5):
+        if is_reachable and promotion.can_revert and (not missing or waited_s > 0.5):
             log_decision(
                 "promotion_taken_back",
                 service=promotion.service,
-                old=promotion.old_id,
+                old=promotion.old_primary_id,
                 missing=missing,
-                reason=self._watch.describe(promotion.old_id, now),
+                reason=self._watch.describe(promotion.old_primary_id, now),
             )
-            self._run(promotion, promotion.on_primary_back())
+            self._run(promotion, promotion.on_primary_recovered())
             return
         if missing:
             return
         log_decision(
             "primary_free",
             service=promotion.service,
-            old=promotion.old_id,
+            old=promotion.old_primary_id,
             stopped=sorted(stopped),
             waited_s=round(waited_s, 3),
         )
@@ -307,7 +307,10 @@
         ]
         statuses = await self._questions.statuses(entries)
         for entry in entries:
-            if entry.target_id == promotion.old_id and entry.target_id in statuses:
+            if (
+                entry.target_id == promotion.old_primary_id
+                and entry.target_id in statuses
+            ):
                 self._directory.confirm_entry(entry)
         actions = promotion.on_statuses(statuses, now_s())
         log_decision(
@@ -359,7 +362,7 @@
         The platform's answer may come before the promotion takes effect; until then
         the log still lacks the start of the new term.
         """
-        until = now_s() + CONFIRM_LEAD_S
+        until = now_s() + PROMOTION_TIMEOUT_S
         while self._is_current(promotion):
             entry = self._directory.entry(target_id)
             status = await self._questions.status(entry) if entry else None
@@ -380,7 +383,7 @@
             lead = self._fleet.state.primary_row(promotion.service)
             if written is not None and written.is_applied:
                 promotion.on_settled()
-                is_moved = primary_id != promotion.old_id
+                is_moved = primary_id != promotion.old_primary_id
                 result = "promoted" if is_moved else "taken back"
                 metrics.promotions.labels(result).inc()
                 log_decision(
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/group.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/group.py
@@ -283,13 +283,15 @@
     def _abort_silent(self) -> None:
         """Break connections to databases that have stopped answering probes."""
         now = self.context.reactor.seconds()
-        silences = [self.monitor.silent_s(name, now) for name in self.view.databases]
+        silences = [
+            self.monitor.since_answer_s(name, now) for name in self.view.databases
+        ]
         if min(silences, default=0.0) > ABORT_SILENT_S / 2:
             return
         for name, pool in self.targets.pool_by_target.items():
             if not pool.state.busy:
                 continue
-            if self.monitor.silent_s(name, now) > ABORT_SILENT_S:
+            if self.monitor.since_answer_s(name, now) > ABORT_SILENT_S:
                 pool.abort_all()
 
     def _notice_primary(self) -> None:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/lease_runner.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/lease_runner.py
@@ -102,7 +102,7 @@
         rival = None
         if claim is not None and claim.vm != self._settings.vm:
             rival = Claim(claim.ledger_epoch, claim.vm)
-        is_silent = table.silent_s(self._lease.row.holder) > HOLDER_SILENT_S
+        is_silent = table.since_heartbeat_s(self._lease.row.holder) > HOLDER_SILENT_S
         return LeaseTick(
             wants=rank < STANDBYS and not self._is_leaving,
             is_first=rank == 0,
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/membership_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/membership_service.py
@@ -105,7 +105,7 @@
 
     def announce_now(self, count: int) -> None:
         """Tell some members at once what has changed at this VM."""
-        self.table.beat(self._reactor.seconds(), **self._changes)
+        self.table.advance(self._reactor.seconds(), **self._changes)
         self._changes.clear()
         message = PushHeartbeats([self.table.own])
         for partner in self.table.partners(count):
@@ -134,7 +134,7 @@
         return Membership(own, seed=seed, now=self._reactor.seconds())
 
     def _beat(self) -> None:
-        digest = self.table.beat(self._reactor.seconds(), **self._changes)
+        digest = self.table.advance(self._reactor.seconds(), **self._changes)
         self._changes.clear()
         message = Gossip(digest)
         addresses = {beat.peer_address for beat in self.table.partners()}
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/statement_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/statement_service.py
@@ -265,7 +265,7 @@
         """
         while True:
             primary = group.view.primary
-            if primary is not None and not group.monitor.holds_writes:
+            if primary is not None and not group.monitor.pauses_writes:
                 return primary
             remaining_s = deadline - self._reactor.seconds()
             if remaining_s <= 0:
--- a/tests/harness/broken_vm.py
+++ b/tests/harness/broken_vm.py
@@ -60,7 +60,7 @@
 
 def believe_any_age() -> None:
     """Takes whatever a database reports for current."""
-    GroupView.proven_as_of = lambda self, report: float("inf")
+    GroupView.safe_time = lambda self, report: float("inf")
 
 
 def admit_everything() -> None:
--- a/tests/harness/caller.py
+++ b/tests/harness/caller.py
@@ -12,7 +12,7 @@
 
 from guavabarrow_cli.embedded_fleet import LOOPBACK
 from guavabarrow_core.exceptions import ExecutionStatus
-from guavabarrow_core.history import History, ReadSeen, WriteSeen
+from guavabarrow_core.history import History, ObservedRead, ObservedWrite
 from guavabarrow_core.request_id import create_request_id
 
 SERVICE = "orders-db"
@@ -198,7 +198,7 @@
                 break
         with self._lock:
             self.history.writes.append(
-                WriteSeen(caller.name, row, sent_at, time.monotonic(), ran)
+                ObservedWrite(caller.name, row, sent_at, time.monotonic(), ran)
             )
 
     def _read(self, caller: Caller, nonce: str, max_age_ms: float | None) -> None:
@@ -211,7 +211,7 @@
             self.failures.append(answer)
             return
         rows = answer.body["rows"]
-        read = ReadSeen(
+        read = ObservedRead(
             caller.name,
             frozenset(row for row, _ in rows),
             sent_at,
--- a/tests/mutations/catalogue.py
+++ b/tests/mutations/catalogue.py
@@ -70,14 +70,14 @@
     ),
     Mutation(
         "promotion",
-        "return is_early and not by_choice",
-        "return is_early and not self.is_planned",
+        "return nothing_requested and not must_replace",
+        "return nothing_requested and not self.is_planned",
         "test_promotion",
     ),
     Mutation(
         "promotion",
-        "return max(known, key=lambda key: self.status_by_id[key].received)",
-        "return known[0]",
+        "return max(compared, key=lambda key: self.status_by_id[key].received)",
+        "return compared[0]",
         "test_promotion",
     ),
     Mutation(
@@ -148,7 +148,7 @@
     ),
     Mutation(
         "peer_topology",
-        "if vm in everywhere:",
+        "if vm in linked_to_all:",
         "if not vm:",
         "test_peer_topology",
     ),
--- a/tests/test_broken_vms.py
+++ b/tests/test_broken_vms.py
@@ -10,16 +10,16 @@
 
 from guavabarrow_cli.embedded_fleet import LayoutTeam
 from guavabarrow_core.fleet_change import WithdrawKey
-from guavabarrow_core.history import Promise, check_rate
+from guavabarrow_core.history import Guarantee, check_rate
 
 
-def promises(violations):
-    return {violation.promise for violation in violations}
+def guarantees(violations):
+    return {violation.guarantee for violation in violations}
 
 
 def judge(world):
     workload = world.end_workload()
-    return promises(workload.history.check(world.rows()))
+    return guarantees(workload.history.check(world.rows()))
 
 
 def test_acknowledging_at_once_loses_writes(world):
@@ -28,14 +28,14 @@
     world.wait_acknowledged(100)
     fleet.kill(fleet.primary(SERVICE))
     world.wait_acknowledged(20)
-    assert Promise.ACKNOWLEDGED_WRITE_KEPT in judge(world)
+    assert Guarantee.ACKNOWLEDGED_WRITE_KEPT in judge(world)
 
 
 def test_forgetting_sessions_breaks_read_your_writes(world):
     world.start(lag_ms=100.0, fault="forget_sessions")
     world.start_workload()
     world.wait_acknowledged(100)
-    assert Promise.READ_YOUR_WRITES in judge(world)
+    assert Guarantee.READ_YOUR_WRITES in judge(world)
 
 
 def test_forgetting_ids_runs_writes_twice(world):
@@ -44,7 +44,7 @@
     for _ in range(5):
         fleet.set_database_faults(fleet.primary(SERVICE), lost_answers=3)
         world.wait_acknowledged(20)
-    assert Promise.AT_MOST_ONCE in judge(world)
+    assert Guarantee.AT_MOST_ONCE in judge(world)
 
 
 def test_denying_doubt_is_caught(world):
@@ -61,7 +61,7 @@
         fleet.set_link(primary, other, frozen=False)
     workload.deadline_s = 15.0
     world.wait_acknowledged(20)
-    assert Promise.NOT_RUN_IS_TRUE in judge(world)
+    assert Guarantee.NOT_RUN_IS_TRUE in judge(world)
 
 
 def test_believing_any_age_is_caught(world):
@@ -74,7 +74,7 @@
     before = len(world.workload.history.reads)
     time.sleep(4.0)
     wait_until(lambda: len(world.workload.history.reads) > before + 100, "more reads")
-    assert Promise.STATED_AGE in judge(world)
+    assert Guarantee.STATED_AGE in judge(world)
 
 
 def test_admitting_everything_exceeds_the_rate(world):
@@ -86,7 +86,7 @@
         sent_at = time.monotonic()
         assert caller.read("SELECT 1").ok
         admitted.append((sent_at, time.monotonic()))
-    assert promises(check_rate(admitted, rate_per_s=30, burst=10)) == {Promise.RATE}
+    assert guarantees(check_rate(admitted, rate_per_s=30, burst=10)) == {Guarantee.RATE}
 
 
 def test_keeping_keys_is_noticed(world):
