--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/directory_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/directory_service.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from guavabarrow_daemon.fleet.fleet_service import PulseDraft
+    from guavabarrow_daemon.fleet.fleet_service import HeartbeatDraft
     from guavabarrow_daemon.session_codec import TargetCodec
     from guavabarrow_daemon.store.watched_table import DirectorySource
 
@@ -95,7 +95,7 @@
 
     async def start(self) -> None:
         """Begin to follow the list."""
-        self._fleet.fill_pulse.append(self._fill_pulse)
+        self._fleet.heartbeat_fillers.append(self._fill_heartbeat)
         self._fleet.on_rows.append(self._on_rows)
         Deferred.fromCoroutine(self._follow())
         self._trims = LoopingCall(self._trim)
@@ -168,7 +168,7 @@
         self._suspected[target_id] = (evidence, now_s())
         if is_new:
             log_decision("target_suspected", target=target_id, evidence=evidence)
-            self._fleet.pulse_now()
+            self._fleet.send_heartbeat_now()
 
     def suspected(self) -> dict[str, str]:
         """Return recent evidence by target."""
@@ -238,7 +238,7 @@
         self.change = xxh3_64_intdigest(msgspec.msgpack.encode(self.entries()))
         for callback in self.on_changed:
             callback()
-        self._fleet.pulse_now()
+        self._fleet.send_heartbeat_now()
 
     @property
     def age_s(self) -> float:
@@ -264,9 +264,9 @@
         duty = self._fleet.state.duty()
         if duty is None or duty.holder == self._fleet.state.vm:
             return False
-        pulse_age_s, pulse = self._fleet.last_pulse(duty.holder)
+        heartbeat_age_s, heartbeat = self._fleet.last_heartbeat(duty.holder)
         return (
-            pulse_age_s + pulse.directory_age_s < RELAY_LIMIT_S
+            heartbeat_age_s + heartbeat.directory_age_s < RELAY_LIMIT_S
             and self.age_s < RELAY_LIMIT_S
         )
 
@@ -305,7 +305,7 @@
                     callback()
                 return
 
-    def _fill_pulse(self, draft: PulseDraft) -> None:
+    def _fill_heartbeat(self, draft: HeartbeatDraft) -> None:
         draft.common["suspected"] = self.suspected()
         draft.common["directory_age_s"] = round(self.age_s, 3)
         draft.common["directory_change"] = self.change
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/duty_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/duty_service.py
@@ -100,7 +100,7 @@
         if self._checks is not None and self._checks.running:
             self._checks.stop()
 
-    def may_act(self) -> bool:
+    def may_order_promotions(self) -> bool:
         """Tell whether this VM may order promotions now."""
         now = now_s()
         is_time = self._acts_from is not None and now >= self._acts_from
@@ -131,7 +131,7 @@
             # The answer to the write was lost; the table tells that it was done.
             self._begin(acts_in_s=DUTY_LEASE_S)
         self._mark_silent_members(now)
-        if not self.may_act():
+        if not self.may_order_promotions():
             return
         for callback in self.on_check:
             callback(now)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_messages.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_messages.py
@@ -22,7 +22,7 @@
     incarnation: str
 
 
-class Pulse(msgspec.Struct, frozen=True, tag="pulse", omit_defaults=True):
+class PeerHeartbeat(msgspec.Struct, frozen=True, tag="pulse", omit_defaults=True):
     """Regular sign of life.
 
     Parameters
@@ -199,7 +199,7 @@
 
 FleetMessage = (
     Hello
-    | Pulse
+    | PeerHeartbeat
     | FleetRows
     | PrimaryUseStopped
     | TableRequest
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_service.py
@@ -20,7 +20,7 @@
 from guavabarrow_daemon.fleet.fleet_messages import (
     FleetMessage,
     FleetRows,
-    Pulse,
+    PeerHeartbeat,
     SharedRow,
 )
 from guavabarrow_daemon.fleet.peer_links import PeerLinks
@@ -62,8 +62,8 @@
 RETRY_S = 0.25
 """Pause after the store gave no answer."""
 
-PULSE_S = 0.7
-MIN_PULSE_S = 0.03
+HEARTBEAT_INTERVAL_S = 0.7
+MIN_HEARTBEAT_INTERVAL_S = 0.03
 """Shortest pause between two pulses of which one is sent because of a change."""
 
 SOON_S = 0.15
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PulseDraft:
+class HeartbeatDraft:
     """Fields of the next pulse.
 
     Parameters
@@ -107,7 +107,7 @@
     store_failed_at, stale_at : float
         Local times at which the store last gave no answer, and at which the table was
         last too old for a store that works.
-    on_rows, on_orders, on_pulse : list of callable
+    on_rows, on_orders, on_heartbeat : list of callable
         Called with changed rows; after changed orders; with each pulse.
     """
 
@@ -130,8 +130,8 @@
         self.evacuated: frozenset[str] = frozenset()
         self.on_rows: list[Callable[[list[VersionedRow]], None]] = []
         self.on_orders: list[Callable[[], None]] = []
-        self.on_pulse: list[Callable[[str, Pulse], None]] = []
-        self.fill_pulse: list[Callable[[PulseDraft], None]] = []
+        self.on_heartbeat: list[Callable[[str, PeerHeartbeat], None]] = []
+        self.heartbeat_fillers: list[Callable[[HeartbeatDraft], None]] = []
         self.store_failed_at = float("-inf")
         self.stale_at = float("-inf")
         self.is_stopping = False
@@ -143,7 +143,7 @@
         self.order_row_by_key: dict[str, SharedRow] = {}
         self.heard_store_s = 0.0
         self._links = kernel.find(PeerLinks)
-        self._pulse_by_vm: dict[str, tuple[float, Pulse]] = {}
+        self._pulse_by_vm: dict[str, tuple[float, PeerHeartbeat]] = {}
         self._pulse_at = 0.0
         self._is_pulse_due = False
         self._is_store_reachable: bool | None = None
@@ -156,7 +156,7 @@
         Deferred.fromCoroutine(self._follow_orders())
         self._pulses = LoopingCall(self._pulse)
         self._pulses.clock = self._reactor
-        self._pulses.start(PULSE_S, now=False)
+        self._pulses.start(HEARTBEAT_INTERVAL_S, now=False)
 
     async def stop(self) -> None:
         """Stop following."""
@@ -354,7 +354,7 @@
             metrics.configuration_version.set(newest.version)
         for callback in self.on_orders:
             callback()
-        self.pulse_now()
+        self.send_heartbeat_now()
 
     @property
     def orders_row_version(self) -> int:
@@ -365,12 +365,12 @@
         """Return the VM of the own failure domain that follows the store."""
         return self.state.observer(self._settings.domain, self._links.live_peers())
 
-    def last_pulse(self, vm: str) -> tuple[float, Pulse]:
+    def last_heartbeat(self, vm: str) -> tuple[float, PeerHeartbeat]:
         """Return a VM's last pulse and its age in s."""
-        at, pulse = self._pulse_by_vm.get(vm, (float("-inf"), Pulse()))
-        return now_s() - at, pulse
+        at, heartbeat = self._pulse_by_vm.get(vm, (float("-inf"), PeerHeartbeat()))
+        return now_s() - at, heartbeat
 
-    def hear_relayed(
+    def apply_relayed_table(
         self, rows: list[SharedRow], version: int, rows_version: int, store_s: float
     ) -> None:
         """Take the shared table as another VM knows it.
@@ -394,7 +394,7 @@
         changed = self.state.apply(decoded, version, as_of=as_of, now=now_s())
         self._tell_rows(changed)
 
-    def take_relayed_orders(self, shared: list[SharedRow]) -> None:
+    def apply_relayed_orders(self, shared: list[SharedRow]) -> None:
         """Take the operators' table as another VM knows it."""
         rows = [TableRow(row.key, row.value, row.version) for row in shared]
         # The next look of this VM's own starts where its own last one ended.
@@ -409,8 +409,8 @@
         is_own_task = self._has_duty() or observer == self._settings.vm
         if is_own_task or self.table_age_s() > RELAY_LIMIT_S:
             return False
-        pulse_age_s, pulse = self.last_pulse(observer)
-        return pulse_age_s + pulse.store_age_s < RELAY_LIMIT_S
+        heartbeat_age_s, heartbeat = self.last_heartbeat(observer)
+        return heartbeat_age_s + heartbeat.store_age_s < RELAY_LIMIT_S
 
     def _note_store(self, is_reachable: bool, detail: str = "") -> None:
         if not is_reachable:
@@ -424,15 +424,15 @@
         """Return the age of the shared table as known, in s."""
         return round(min(1e9, now_s() - self.state.as_of), 3)
 
-    def pulse_now(self) -> None:
+    def send_heartbeat_now(self) -> None:
         """Tell the other VMs at once that something changed."""
-        wait_s = self._pulse_at + MIN_PULSE_S - now_s()
+        wait_s = self._pulse_at + MIN_HEARTBEAT_INTERVAL_S - now_s()
         if wait_s <= 0.0:
             self._pulse()
         else:
-            self.pulse_soon(wait_s)
+            self.send_heartbeat_soon(wait_s)
 
-    def pulse_soon(self, wait_s: float = SOON_S) -> None:
+    def send_heartbeat_soon(self, wait_s: float = SOON_S) -> None:
         """Tell the other VMs shortly, together with what else changes until then."""
         if not self._is_pulse_due:
             self._is_pulse_due = True
@@ -449,26 +449,26 @@
         self.kernel.find(SessionMetrics).store_age.set(age_s)
         if age_s > STALE_S:
             self.stale_at = now_s()
-        draft = PulseDraft(
+        draft = HeartbeatDraft(
             {
                 "store_age_s": age_s,
                 "rows_version": self.state.rows_version,
                 "orders_version": self.orders_row_version,
             }
         )
-        for fill in self.fill_pulse:
+        for fill in self.heartbeat_fillers:
             fill(draft)
         self._links.dial_missing()
-        inside = Pulse(**draft.common, **draft.inside)
-        outside = Pulse(**draft.common, **draft.outside)
+        inside = PeerHeartbeat(**draft.common, **draft.inside)
+        outside = PeerHeartbeat(**draft.common, **draft.outside)
         domain = self._settings.domain
         self._links.broadcast_by_domain(domain, inside=inside, outside=outside)
 
     def _on_message(self, vm: str, message: FleetMessage) -> None:
         match message:
-            case Pulse():
+            case PeerHeartbeat():
                 self._pulse_by_vm[vm] = (now_s(), message)
-                for callback in self.on_pulse:
+                for callback in self.on_heartbeat:
                     callback(vm, message)
             case FleetRows(rows):
                 self._merge(rows)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/lead_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_service.py
@@ -40,7 +40,7 @@
 running work, comparing and settling."""
 
 
-class LeadService(Service):
+class PrimaryService(Service):
     """Primaries as this VM may use them.
 
     Attributes
@@ -84,7 +84,7 @@
         lead = self._fleet.state.primary_row(service)
         return lead is not None and lead.primary_id == target_id
 
-    def move_wait_s(self, service: str) -> float:
+    def replacement_wait_s(self, service: str) -> float:
         """Return how long it makes sense to wait for a primary, in s.
 
         A replacement that takes longer than usual waits for VMs that can't be reached
@@ -96,7 +96,7 @@
         began_at = self._moving_since.get(service, float("-inf"))
         return began_at + USUAL_MOVE_S - now_s()
 
-    def moving_planned(self, service: str) -> str:
+    def draining_primary(self, service: str) -> str:
         """Return the primary that running work may still use, empty if none."""
         lead = self._fleet.state.primary_row(service)
         if lead is None or lead.phase is not PrimaryPhase.MOVING or not lead.is_planned:
@@ -114,15 +114,15 @@
         if self.may_use(service, target_id):
             self.history(service).record(Observation(asked_at, position))
 
-    def enter(self, service: str) -> None:
+    def begin_work(self, service: str) -> None:
         """Count work that begins at the primary."""
         self._running_by_service[service] = self._running_by_service.get(service, 0) + 1
 
-    def leave(self, service: str) -> None:
+    def end_work(self, service: str) -> None:
         """Count work that ended at the primary."""
         self._running_by_service[service] -= 1
 
-    def changed(self, service: str) -> Deferred[None]:
+    def when_changed(self, service: str) -> Deferred[None]:
         """Return a Deferred that fires when the primary of a service changes."""
         waiting = self._waiting.setdefault(service, [])
         result: Deferred[None] = Deferred(
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_watch.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_watch.py
@@ -20,7 +20,7 @@
 
 if TYPE_CHECKING:
     from guavabarrow_core.target_directory import TargetEntry
-    from guavabarrow_daemon.fleet.fleet_messages import Pulse
+    from guavabarrow_daemon.fleet.fleet_messages import PeerHeartbeat
 
 PROBE_S = 0.6
 """Pace of probes of a primary that did not answer this VM otherwise."""
@@ -49,7 +49,7 @@
 
     async def start(self) -> None:
         """Begin to watch."""
-        self._fleet.on_pulse.append(self._on_pulse)
+        self._fleet.on_heartbeat.append(self._on_heartbeat)
         self._duty.on_check.append(self._check)
 
     def is_failed(self, target_id: str, now: float) -> bool:
@@ -72,13 +72,13 @@
     def _evidence(self, target_id: str) -> PrimaryEvidence:
         return self._evidence_by_id.setdefault(target_id, PrimaryEvidence())
 
-    def _on_pulse(self, vm: str, pulse: Pulse) -> None:
+    def _on_heartbeat(self, vm: str, heartbeat: PeerHeartbeat) -> None:
         now = now_s()
         for known in self._fleet.state.row_by_key.values():
             if isinstance(known.row, PrimaryRow):
                 target_id = known.row.primary_id
                 self._evidence(target_id).record_vote(
-                    vm, target_id not in pulse.suspected, now
+                    vm, target_id not in heartbeat.suspected, now
                 )
 
     def _check(self, now: float) -> None:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/promotion_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/promotion_service.py
@@ -29,8 +29,8 @@
 from guavabarrow_daemon.fleet.duty_service import DutyService
 from guavabarrow_daemon.fleet.fleet_messages import FleetMessage, PrimaryUseStopped
 from guavabarrow_daemon.fleet.fleet_service import FleetService
-from guavabarrow_daemon.fleet.lead_service import LeadService
 from guavabarrow_daemon.fleet.peer_links import PeerLinks
+from guavabarrow_daemon.fleet.primary_service import PrimaryService
 from guavabarrow_daemon.fleet.primary_watch import PrimaryWatch
 from guavabarrow_daemon.kernel import Kernel, Service
 from guavabarrow_daemon.operations.clock import now_s
@@ -67,7 +67,7 @@
         self._reactor = reactor
         self._fleet = kernel.find(FleetService)
         self._directory = kernel.find(DirectoryService)
-        self._lead = kernel.find(LeadService)
+        self._primary_service = kernel.find(PrimaryService)
         self._links = kernel.find(PeerLinks)
         self._duty = kernel.find(DutyService)
         self._watch = kernel.find(PrimaryWatch)
@@ -81,7 +81,7 @@
         """Begin to check."""
         self._links.on_peer_message.append(self._on_message)
         self._fleet.on_rows.append(self._on_rows)
-        self._lead.on_stopped.append(self._on_own_stopped)
+        self._primary_service.on_stopped.append(self._on_own_stopped)
         self._duty.on_check.append(self._check)
         self._duty.on_taken.append(self._promotion_by_service.clear)
 
@@ -155,7 +155,11 @@
 
         async def found(entry: TargetEntry) -> None:
             status = await self._questions.status(entry)
-            if status is not None and status.is_primary and self._duty.may_act():
+            if (
+                status is not None
+                and status.is_primary
+                and self._duty.may_order_promotions()
+            ):
                 term = status.term
                 row = PrimaryRow(service, PrimaryPhase.SETTLED, entry.target_id, term)
                 await self._fleet.write(primary_row_key(service), row)
@@ -234,7 +238,7 @@
     def _is_current(self, promotion: Promotion) -> bool:
         if self._promotion_by_service.get(promotion.service) is not promotion:
             return False
-        if self._duty.may_act():
+        if self._duty.may_order_promotions():
             return True
         log_decision(
             "promotion_dropped",
@@ -420,11 +424,11 @@
         if len(self._stopped) > MAX_CONFIRMATIONS:
             self._stopped.pop(next(iter(self._stopped)))
         promotion = self._promotion_by_service.get(message.service)
-        if promotion is not None and self._duty.may_act():
+        if promotion is not None and self._duty.may_order_promotions():
             self._check_stopped(promotion, now_s())
 
     def _on_rows(self, rows: list[VersionedRow]) -> None:
-        if not self._duty.may_act():
+        if not self._duty.may_order_promotions():
             return
         for promotion in list(self._promotion_by_service.values()):
             self._check_stopped(promotion, now_s())
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/rate_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/rate_service.py
@@ -12,7 +12,7 @@
 from guavabarrow_core.session_messages import FailureCode
 from guavabarrow_daemon.fleet.fleet_messages import (
     FleetMessage,
-    Pulse,
+    PeerHeartbeat,
     TokenGrant,
     TokenRequest,
 )
@@ -25,14 +25,14 @@
 
 if TYPE_CHECKING:
     from guavabarrow_core.fleet_state import VersionedRow
-    from guavabarrow_daemon.fleet.fleet_service import PulseDraft
+    from guavabarrow_daemon.fleet.fleet_service import HeartbeatDraft
     from guavabarrow_daemon.session_settings import SessionVmSettings
 
 SILENCED_AFTER_S = 9.0
 """A VM that is out of contact can't reach targets any longer after this time: its right
 to use primaries has lapsed, and its observations are older than any stated age."""
 
-FULL_PULSE_EVERY = 8
+FULL_HEARTBEAT_EVERY = 8
 """Every so many pulses all demand is told, whatever was missed."""
 
 UNKNOWN_HOST = "?"
@@ -57,7 +57,7 @@
     def take(self, demand_by_team: dict[str, float]) -> dict[str, Any]:
         """Return the fields of a pulse that tell a demand."""
         self._count += 1
-        if self._count % FULL_PULSE_EVERY == 0:
+        if self._count % FULL_HEARTBEAT_EVERY == 0:
             self._told = None
         told, self._told = self._told, demand_by_team
         known = told or {}
@@ -106,9 +106,9 @@
         self._links.on_peer_up.append(self._on_peer_up)
         self._links.on_peer_message.append(self._on_message)
         self._fleet.on_orders.append(self._on_orders)
-        self._fleet.on_pulse.append(self._on_pulse)
+        self._fleet.on_heartbeat.append(self._on_heartbeat)
         self._fleet.on_rows.append(self._on_rows)
-        self._fleet.fill_pulse.append(self._fill_pulse)
+        self._fleet.heartbeat_fillers.append(self._fill_heartbeat)
 
     async def admit(self, team: str) -> None:
         """Let an operation start.
@@ -189,7 +189,7 @@
         self._news_inside.forget()
         self._news_outside.forget()
         self._unheard.add(vm)
-        self._fleet.pulse_soon()
+        self._fleet.send_heartbeat_soon()
 
     def _on_rows(self, rows: list[VersionedRow]) -> None:
         self._set_members()
@@ -212,18 +212,20 @@
                 vms_by_domain[member.domain] = count + 1
         self.rates.set_members(frozenset(near), vms_by_domain)
 
-    def _on_pulse(self, vm: str, pulse: Pulse) -> None:
+    def _on_heartbeat(self, vm: str, heartbeat: PeerHeartbeat) -> None:
         now = now_s()
         self._unheard.discard(vm)
         domain = self._domain_by_vm.get(vm)
         if domain == self._domain:
-            self.rates.alone.learn(vm, pulse.demand_by_team, now, is_full=pulse.is_full)
-            is_news = pulse.has_pool != (self.rates.host == vm)
+            self.rates.alone.learn(
+                vm, heartbeat.demand_by_team, now, is_full=heartbeat.is_full
+            )
+            is_news = heartbeat.has_pool != (self.rates.host == vm)
             if is_news or self._fleet.observer() == self._vm != self.rates.host:
                 self._follow(now)
-        elif domain is not None and pulse.has_pool:
+        elif domain is not None and heartbeat.has_pool:
             self.rates.learn_domain(
-                domain, pulse.demand_by_team, now, is_full=pulse.is_full
+                domain, heartbeat.demand_by_team, now, is_full=heartbeat.is_full
             )
 
     def _follow(self, now: float) -> None:
@@ -235,18 +237,18 @@
         view_by_vm = {}
         for vm in self._links.live_peers():
             if self._domain_by_vm.get(vm) == self._domain:
-                _, pulse = self._fleet.last_pulse(vm)
-                host = UNKNOWN_HOST if vm in self._unheard else pulse.pool_host
-                view_by_vm[vm] = NeighbourView(host, pulse.has_pool)
+                _, heartbeat = self._fleet.last_heartbeat(vm)
+                host = UNKNOWN_HOST if vm in self._unheard else heartbeat.pool_host
+                view_by_vm[vm] = NeighbourView(host, heartbeat.has_pool)
         self.rates.follow(self._fleet.observer(), view_by_vm, now)
         if self.rates.host != former:
             log_decision("pool_host_changed", host=self.rates.host, former=former)
         if self.rates.pool is not None and not had_pool:
             self._news_outside.forget()
         if self.rates.host != former:
-            self._fleet.pulse_now()
+            self._fleet.send_heartbeat_now()
 
-    def _fill_pulse(self, draft: PulseDraft) -> None:
+    def _fill_heartbeat(self, draft: HeartbeatDraft) -> None:
         now = now_s()
         self._set_members()
         self._follow(now)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/table_relay.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/table_relay.py
@@ -17,7 +17,7 @@
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
 from guavabarrow_daemon.fleet.fleet_messages import (
     FleetMessage,
-    Pulse,
+    PeerHeartbeat,
     SharedRow,
     TableAnswer,
     TableRequest,
@@ -112,25 +112,25 @@
 
     def _on_message(self, vm: str, message: FleetMessage) -> None:
         match message:
-            case Pulse():
-                self._on_pulse(vm, message)
+            case PeerHeartbeat():
+                self._on_heartbeat(vm, message)
             case TableRequest():
                 self._answer(vm, message)
             case TableAnswer():
                 self._take(vm, message)
 
-    def _on_pulse(self, vm: str, pulse: Pulse) -> None:
+    def _on_heartbeat(self, vm: str, heartbeat: PeerHeartbeat) -> None:
         own_age_s = self._fleet.table_age_s()
         is_ahead = own_age_s > ASK_AFTER_S and (
-            pulse.store_age_s < own_age_s - MIN_GAIN_S
+            heartbeat.store_age_s < own_age_s - MIN_GAIN_S
         )
         is_guide = vm == self._fleet.observer() or is_ahead
         is_newer = is_guide and (
-            pulse.rows_version > self._fleet.state.rows_version
-            or pulse.orders_version > self._fleet.orders_row_version
+            heartbeat.rows_version > self._fleet.state.rows_version
+            or heartbeat.orders_version > self._fleet.orders_row_version
         )
-        is_newer = is_newer or self._observer_lacks(pulse.orders_version)
-        has_targets = self._follow_directory(vm, pulse)
+        is_newer = is_newer or self._observer_lacks(heartbeat.orders_version)
+        has_targets = self._follow_directory(vm, heartbeat)
         if not (is_ahead or is_newer or has_targets):
             return
         if now_s() - self._answered_at_by_vm.get(vm, 0.0) > MIN_GAIN_S:
@@ -143,16 +143,16 @@
         observer = self._fleet.observer()
         if observer == self._fleet.state.vm:
             return True
-        _, pulse = self._fleet.last_pulse(observer)
-        return pulse.orders_version < orders_version and not self._ask_by_vm
+        _, heartbeat = self._fleet.last_heartbeat(observer)
+        return heartbeat.orders_version < orders_version and not self._ask_by_vm
 
-    def _follow_directory(self, vm: str, pulse: Pulse) -> bool:
+    def _follow_directory(self, vm: str, heartbeat: PeerHeartbeat) -> bool:
         duty = self._fleet.state.duty()
         is_reader = duty is not None and duty.holder == vm
-        if not is_reader or pulse.directory_age_s > self._directory.age_s:
+        if not is_reader or heartbeat.directory_age_s > self._directory.age_s:
             return False
-        if pulse.directory_change == self._directory.change:
-            self._directory.confirm_relayed(pulse.directory_age_s)
+        if heartbeat.directory_change == self._directory.change:
+            self._directory.confirm_relayed(heartbeat.directory_age_s)
             return False
         return True
 
@@ -209,14 +209,14 @@
         self._fleet.clock.observe(
             store_s=answer.store_s, sent_at=asked_at, received_at=float("inf")
         )
-        self._fleet.hear_relayed(
+        self._fleet.apply_relayed_table(
             answer.rows,
             answer.fleet_version,
             answer.rows_version,
             answer.heard_store_s,
         )
         if orders:
-            self._fleet.take_relayed_orders(orders)
+            self._fleet.apply_relayed_orders(orders)
         if answer.targets is not None:
             age_s = answer.directory_age_s + now_s() - asked_at
             self._directory.take_relayed(answer.targets, age_s)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_router.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_router.py
@@ -21,7 +21,7 @@
     TransactionState,
 )
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
-from guavabarrow_daemon.fleet.lead_service import LeadService
+from guavabarrow_daemon.fleet.primary_service import PrimaryService
 from guavabarrow_daemon.front.target_chooser import RETRY_ADVICE_S, TargetChooser
 from guavabarrow_daemon.front.target_exchange import TargetExchange
 from guavabarrow_daemon.front.work import OpenTransaction, Work
@@ -49,7 +49,7 @@
     def __init__(self, kernel: Kernel, reactor: Any) -> None:
         super().__init__(kernel)
         self._reactor = reactor
-        self._lead = kernel.find(LeadService)
+        self._primary_service = kernel.find(PrimaryService)
         self._chooser = kernel.find(TargetChooser)
         self._exchange = kernel.find(TargetExchange)
         self._codec = kernel.find(DirectoryService).create_codec()
@@ -97,7 +97,7 @@
             connection = await pool.acquire(
                 work.team, priority=work.route.priority, deadline=work.hold_until
             )
-            if at_primary and not self._lead.may_use(
+            if at_primary and not self._primary_service.may_use(
                 work.route.service, pool.entry.target_id
             ):
                 pool.release(connection)
@@ -112,7 +112,7 @@
             reply = await self._exchange.run(work, connection, pool, data, preparations)
         finally:
             pool.load.running -= 1
-        if at_primary and not self._lead.may_use(
+        if at_primary and not self._primary_service.may_use(
             work.route.service, pool.entry.target_id
         ):
             raise SessionError(FailureCode.BEHIND, "The primary moved meanwhile.")
@@ -139,15 +139,15 @@
                 statement,
                 prepared_name=shape.shared_name if shape else "",
             )
-            self._lead.enter(service)
+            self._primary_service.begin_work(service)
             pool.load.running += 1
             try:
                 reply = await self._exchange.run(
                     work, connection, pool, data, preparations, is_write=True
                 )
-                is_valid = self._lead.may_use(service, pool.entry.target_id)
+                is_valid = self._primary_service.may_use(service, pool.entry.target_id)
             finally:
-                self._lead.leave(service)
+                self._primary_service.end_work(service)
                 pool.load.running -= 1
             failure = reply.failure
             if failure is None and not is_valid:
@@ -188,7 +188,7 @@
                 pool, connection = await self._chooser.acquire_primary(work)
             target_id = pool.entry.target_id
             service = work.route.service
-            if after is None and not self._lead.may_use(service, target_id):
+            if after is None and not self._primary_service.may_use(service, target_id):
                 pool.release(connection)
                 continue
             data, preparations = self._exchange.prepare(work, connection, None)
@@ -212,7 +212,7 @@
                     connection, pool, service, at_primary=after is None
                 )
                 if transaction.at_primary:
-                    self._lead.enter(service)
+                    self._primary_service.begin_work(service)
                 return transaction
             if connection.is_open:
                 self._exchange.give_back(connection, pool)
@@ -280,7 +280,7 @@
                 f"Rolled back: {error.detail}",
                 retry_after_s=RETRY_ADVICE_S,
             ) from error
-        still_leads = not transaction.at_primary or self._lead.may_use(
+        still_leads = not transaction.at_primary or self._primary_service.may_use(
             transaction.service, target_id
         )
         if reply.failure is None and not still_leads and is_commit:
@@ -295,10 +295,10 @@
 
     def _lead_allows(self, transaction: OpenTransaction, statement: Statement) -> bool:
         target_id = transaction.pool.entry.target_id
-        if self._lead.may_use(transaction.service, target_id):
+        if self._primary_service.may_use(transaction.service, target_id):
             return True
         # Statements of a running transaction may end it during a planned move.
-        lead = self._lead.moving_planned(transaction.service)
+        lead = self._primary_service.draining_primary(transaction.service)
         return lead == target_id and statement.kind is not StatementKind.COMMIT
 
     async def roll_back(self, transaction: OpenTransaction) -> None:
@@ -325,5 +325,5 @@
             return
         transaction.has_left = True
         if transaction.at_primary:
-            self._lead.leave(transaction.service)
+            self._primary_service.end_work(transaction.service)
         self._exchange.give_back(transaction.connection, transaction.pool)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/target_chooser.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/target_chooser.py
@@ -10,7 +10,7 @@
 from guavabarrow_core.session_configuration import Consistency
 from guavabarrow_core.session_messages import FailureCode
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
-from guavabarrow_daemon.fleet.lead_service import LeadService
+from guavabarrow_daemon.fleet.primary_service import PrimaryService
 from guavabarrow_daemon.kernel import Kernel, Service
 from guavabarrow_daemon.operations.clock import now_s
 
@@ -44,7 +44,7 @@
         super().__init__(kernel)
         self._reactor = reactor
         self._directory = kernel.find(DirectoryService)
-        self._lead = kernel.find(LeadService)
+        self._primary_service = kernel.find(PrimaryService)
         self._behind_until: dict[str, float] = {}
 
     def note_behind(self, target_id: str) -> None:
@@ -75,11 +75,11 @@
         """
         now = now_s()
         route = work.route
-        primary = self._lead.primary(route.service)
+        primary = self._primary_service.primary(route.service)
         candidates: list[tuple[float, TargetEntry, LogPosition | None]] = []
         required = None
         if route.consistency is not Consistency.PRIMARY:
-            required = self._lead.history(route.service).required_position(
+            required = self._primary_service.history(route.service).required_position(
                 now=work.began_at, max_age_s=route.max_age_s
             )
         if required is not None:
@@ -123,27 +123,29 @@
                     work.team, priority=work.route.priority, deadline=work.hold_until
                 )
             except SessionError:
-                if self._lead.may_use(service, entry.target_id):
+                if self._primary_service.may_use(service, entry.target_id):
                     raise
                 continue
-            if self._lead.may_use(service, entry.target_id):
+            if self._primary_service.may_use(service, entry.target_id):
                 return pool, connection
             pool.release(connection)
 
     async def _await_primary(self, work: Work) -> TargetEntry:
         service = work.route.service
         while True:
-            entry = self._lead.primary(service)
+            entry = self._primary_service.primary(service)
             if entry is not None:
                 return entry
-            remaining_s = min(work.remaining_s, self._lead.move_wait_s(service))
+            remaining_s = min(
+                work.remaining_s, self._primary_service.replacement_wait_s(service)
+            )
             if remaining_s <= MIN_WAIT_S:
                 raise SessionError(
                     FailureCode.OVERLOADED,
                     "No primary can be used now.",
                     retry_after_s=RETRY_ADVICE_S,
                 )
-            changed = self._lead.changed(service)
+            changed = self._primary_service.when_changed(service)
             changed.addTimeout(remaining_s, self._reactor)
             try:
                 await changed
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/target_exchange.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/target_exchange.py
@@ -9,7 +9,7 @@
 from guavabarrow_core.exceptions import SessionError
 from guavabarrow_core.session_messages import FailureCode, Reply, TransactionState
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
-from guavabarrow_daemon.fleet.lead_service import LeadService
+from guavabarrow_daemon.fleet.primary_service import PrimaryService
 from guavabarrow_daemon.kernel import Kernel, Service
 from guavabarrow_daemon.operations.clock import now_s
 from guavabarrow_daemon.operations.session_metrics import SessionMetrics
@@ -33,7 +33,7 @@
     def __init__(self, kernel: Kernel, reactor: Any) -> None:
         super().__init__(kernel)
         self._reactor = reactor
-        self._lead = kernel.find(LeadService)
+        self._primary_service = kernel.find(PrimaryService)
         self._metrics = kernel.find(SessionMetrics)
         self._codec = kernel.find(DirectoryService).create_codec()
 
@@ -118,7 +118,7 @@
             pool.window.on_answer(now - asked_at)
             pool.load.record(now - asked_at, now)
         if reply.ready.position is not None and reply.failure is None:
-            self._lead.observe(
+            self._primary_service.observe(
                 work.route.service,
                 pool.entry.target_id,
                 asked_at,
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/beliefs.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/beliefs.py
@@ -10,8 +10,8 @@
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
 from guavabarrow_daemon.fleet.duty_service import DutyService
 from guavabarrow_daemon.fleet.fleet_service import FleetService
-from guavabarrow_daemon.fleet.lead_service import LeadService
 from guavabarrow_daemon.fleet.peer_links import PeerLinks
+from guavabarrow_daemon.fleet.primary_service import PrimaryService
 from guavabarrow_daemon.fleet.rate_service import RateService
 
 if TYPE_CHECKING:
@@ -88,7 +88,7 @@
 def read_beliefs(kernel: Kernel) -> Beliefs:
     """Return what a VM believes now."""
     fleet = kernel.find(FleetService)
-    lead = kernel.find(LeadService)
+    primary_service = kernel.find(PrimaryService)
     directory = kernel.find(DirectoryService)
     contacts = kernel.find(PeerLinks).live_peers()
     suspected = directory.suspected()
@@ -104,7 +104,7 @@
         configuration=fleet.configuration.version if fleet.configuration else 0,
         evacuated=sorted(fleet.evacuated),
         duty_holder=duty.holder if duty is not None else "",
-        holds_duty=kernel.find(DutyService).may_act(),
+        holds_duty=kernel.find(DutyService).may_order_promotions(),
         pool_host=kernel.find(RateService).rates.host,
         members=[
             MemberBelief(vm, member.domain, member.is_out, vm in contacts)
@@ -116,7 +116,7 @@
                 row.primary_id,
                 row.term,
                 row.phase.value,
-                lead.may_use(row.service, row.primary_id),
+                primary_service.may_use(row.service, row.primary_id),
             )
             for row in rows
             if isinstance(row, PrimaryRow)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/session_vm.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/session_vm.py
@@ -15,8 +15,8 @@
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
 from guavabarrow_daemon.fleet.duty_service import DutyService
 from guavabarrow_daemon.fleet.fleet_service import FleetService
-from guavabarrow_daemon.fleet.lead_service import LeadService
 from guavabarrow_daemon.fleet.peer_links import PeerLinks
+from guavabarrow_daemon.fleet.primary_service import PrimaryService
 from guavabarrow_daemon.fleet.primary_watch import PrimaryWatch
 from guavabarrow_daemon.fleet.promotion_service import PromotionService
 from guavabarrow_daemon.fleet.rate_service import RateService
@@ -130,7 +130,7 @@
             )
         )
         kernel.register(TableRelay(kernel, reactor))
-        kernel.register(LeadService(kernel, reactor))
+        kernel.register(PrimaryService(kernel, reactor))
         kernel.register(DutyService(kernel, reactor))
         kernel.register(PrimaryWatch(kernel, reactor))
         kernel.register(PromotionService(kernel, parts.authority, reactor))
--- a/packages/guavabarrow-daemon/tests/sim_fleet.py
+++ b/packages/guavabarrow-daemon/tests/sim_fleet.py
@@ -25,8 +25,8 @@
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
 from guavabarrow_daemon.fleet.duty_service import DutyService
 from guavabarrow_daemon.fleet.fleet_service import FleetService
-from guavabarrow_daemon.fleet.lead_service import LeadService
 from guavabarrow_daemon.fleet.peer_links import PeerLinks
+from guavabarrow_daemon.fleet.primary_service import PrimaryService
 from guavabarrow_daemon.fleet.primary_watch import PrimaryWatch
 from guavabarrow_daemon.fleet.promotion_service import PromotionService
 from guavabarrow_daemon.fleet.rate_service import RateService
@@ -94,7 +94,7 @@
             )
         )
         kernel.register(TableRelay(kernel, reactor))
-        kernel.register(LeadService(kernel, reactor))
+        kernel.register(PrimaryService(kernel, reactor))
         kernel.register(DutyService(kernel, reactor))
         kernel.register(PrimaryWatch(kernel, reactor))
         authority = SimAuthority(fleet.group, reactor)
@@ -109,7 +109,7 @@
 
     def primary(self) -> str:
         """Return the primary that a statement would go to now, empty if none."""
-        entry = self.kernel.find(LeadService).primary(SERVICE)
+        entry = self.kernel.find(PrimaryService).primary(SERVICE)
         return entry.target_id if entry is not None else ""
 
     @property
@@ -121,7 +121,7 @@
     @property
     def holds_duty(self) -> bool:
         """Whether this VM may order promotions now."""
-        return self.kernel.find(DutyService).may_act()
+        return self.kernel.find(DutyService).may_order_promotions()
 
     def _use_primary(self) -> None:
         target_id = self.primary()
--- a/packages/guavabarrow-daemon/tests/test_duty_service.py
+++ b/packages/guavabarrow-daemon/tests/test_duty_service.py
@@ -122,9 +122,9 @@
     world.links.in_contact = OTHERS | {GONE}
     world.pass_time(HOLDER_SILENT_S + MOST_RANKS * TAKEOVER_STEP_S + 2 * CHECK_S)
     assert world.fleet.written[0] == (DUTY_KEY, DutyRow(OWN, "1"))
-    assert not world.duty.may_act()
+    assert not world.duty.may_order_promotions()
     world.pass_time(DUTY_LEASE_S + CHECK_S)
-    assert world.duty.may_act()
+    assert world.duty.may_order_promotions()
 
 
 def test_a_vm_that_just_started_does_not_take_the_duty_for_want_of_links(monkeypatch):
@@ -184,17 +184,17 @@
     world.fleet.write = write
     world.links.in_contact = OTHERS | {GONE}
     world.pass_time(HOLDER_SILENT_S + MOST_RANKS * TAKEOVER_STEP_S + 2 * CHECK_S)
-    assert not world.duty.may_act()
+    assert not world.duty.may_order_promotions()
     world.pass_time(DUTY_LEASE_S + 2 * CHECK_S)
-    assert world.duty.may_act()
+    assert world.duty.may_order_promotions()
 
 
 def test_a_duty_that_was_handed_over_is_not_taken_again(world):
     world.fleet.put(DUTY_KEY, DutyRow(OWN, "1"))
     world.pass_time(DUTY_LEASE_S + 1.0)
-    assert world.duty.may_act()
+    assert world.duty.may_order_promotions()
     for _ in world.duty.hand_over().__await__():
         raise AssertionError("the fake store answers at once")
     world.pass_time(5.0)
     assert world.fleet.state.duty() == DutyRow("", "")
-    assert not world.duty.may_act()
+    assert not world.duty.may_order_promotions()
