--- a/packages/guavabarrow-core/src/guavabarrow_core/lease.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/lease.py
@@ -77,23 +77,23 @@
 
     Parameters
     ----------
-    wants : bool
+    is_candidate : bool
         Whether this VM should hold the lease if nobody does.
-    is_first : bool
+    is_preferred : bool
         Whether it is the first choice among the live VMs.
-    holder_silent : bool
+    holder_unreachable : bool
         Whether no live VM claims the lease and the holder of the row is silent.
-    known_epoch : int
+    max_heartbeat_epoch : int
         Highest epoch that heartbeats mention.
-    rival : Claim or None
+    rival_claim : Claim or None
         Newest claim of another live VM.
     """
 
-    wants: bool
-    is_first: bool
-    holder_silent: bool
-    known_epoch: int = 0
-    rival: Claim | None = None
+    is_candidate: bool
+    is_preferred: bool
+    holder_unreachable: bool
+    max_heartbeat_epoch: int = 0
+    rival_claim: Claim | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +129,7 @@
 
     Attributes
     ----------
-    is_founder : bool
+    is_initial_holder : bool
         Whether this process created the row and was never paused since, so that
         no earlier holder can have granted anything.
     """
@@ -145,7 +145,7 @@
         self._suspended_until = float("-inf")
         self._ticked_at: float | None = None
         self._superseded = False
-        self.is_founder = False
+        self.is_initial_holder = False
 
     def holds(self, now: float) -> bool:
         """Tell whether this VM may act as the holder at ``now``."""
@@ -211,13 +211,17 @@
         if event.written:
             self._superseded = False
             if event.row.epoch == 1 and event.row.renewal == 0:
-                self.is_founder = True
+                self.is_initial_holder = True
             self._valid_until = max(self._valid_until, event.asked_at + LEASE_S)
 
     def _on_tick(self, event: LeaseTick, now: float) -> list[LeaseAction]:
         self._notice_pause(now)
         own = Claim(self.row.epoch, self._vm)
-        if self.row.holder == self._vm and event.rival and event.rival > own:
+        if (
+            self.row.holder == self._vm
+            and event.rival_claim
+            and event.rival_claim > own
+        ):
             self._superseded = True
         if self._may_take_over_storeless(event, now):
             self._take_over_storeless(event, now)
@@ -227,9 +231,9 @@
         self._pending = True
         if self.row.holder == self._vm and not self._superseded:
             return [WriteRow(self._renewed())]
-        if event.wants and self._may_take_over(event, now):
-            return [WriteRow(self._taken_over(event.known_epoch))]
-        if event.wants:
+        if event.is_candidate and self._may_take_over(event, now):
+            return [WriteRow(self._taken_over(event.max_heartbeat_epoch))]
+        if event.is_candidate:
             return [ReadRow()]
         self._pending = False
         return []
@@ -242,7 +246,7 @@
             self._row_changed_at = None
             if self._store_down_since is not None:
                 self._store_down_since = now
-            self.is_founder = False
+            self.is_initial_holder = False
         self._ticked_at = now
 
     def _may_take_over(self, event: LeaseTick, now: float) -> bool:
@@ -251,25 +255,27 @@
         if not self.row.holder:
             return True
         unchanged_s = now - self._row_changed_at
-        return event.holder_silent and unchanged_s >= LEASE_S + CLOCK_MARGIN_S
+        return event.holder_unreachable and unchanged_s >= LEASE_S + CLOCK_MARGIN_S
 
     def _renewed(self) -> LeaseRow:
         return LeaseRow(
             self._vm, self.row.epoch, self.row.renewal + 1, self.row.revision
         )
 
-    def _taken_over(self, known_epoch: int) -> LeaseRow:
-        epoch = max(self.row.epoch, known_epoch) + 1
+    def _taken_over(self, max_heartbeat_epoch: int) -> LeaseRow:
+        epoch = max(self.row.epoch, max_heartbeat_epoch) + 1
         return LeaseRow(self._vm, epoch, 0, self.row.revision)
 
     def _may_take_over_storeless(self, event: LeaseTick, now: float) -> bool:
         if self._store_down_since is None or self.holds(now):
             return False
         waited_s = now - self._store_down_since
-        is_candidate = event.wants and event.is_first and event.holder_silent
-        return is_candidate and waited_s >= STORELESS_TAKEOVER_S
+        is_eligible = (
+            event.is_candidate and event.is_preferred and event.holder_unreachable
+        )
+        return is_eligible and waited_s >= STORELESS_TAKEOVER_S
 
     def _take_over_storeless(self, event: LeaseTick, now: float) -> None:
-        self.row = self._taken_over(event.known_epoch)
+        self.row = self._taken_over(event.max_heartbeat_epoch)
         self._superseded = False
         self._suspended_until = now
--- a/packages/guavabarrow-core/src/guavabarrow_core/rate_pool.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/pooled_rate_limiter.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from guavabarrow_core.operation_rate import (
+from guavabarrow_core.rate_limiter import (
     RELAY_S,
-    OperationRates,
+    RateLimit,
+    RateLimiter,
     RateTolerance,
-    TeamRate,
     domain_source,
 )
 
@@ -30,7 +30,7 @@
 SUSPECT_S = 1.0
 """Time for which a VM goes on alone after the host gave no answer."""
 
-AWAKE_S = 1.8
+MAX_UPDATE_GAP_S = 1.8
 """A VM that has not looked at the others for this long was suspended, and has been
 replaced as a host meanwhile."""
 
@@ -46,7 +46,7 @@
 on alone while the host still counts on them."""
 
 
-class Verdict(Enum):
+class AdmissionDecision(Enum):
     """Whether an operation may start."""
 
     ADMITTED = "admitted"
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NeighbourView:
+class PeerPoolState:
     """What a VM of the own failure domain said last.
 
     Parameters
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True)
-class TeamRates:
+class PooledRateLimiter:
     """Rates of all teams at one VM.
 
     Parameters
@@ -91,9 +91,9 @@
 
     Attributes
     ----------
-    alone : OperationRates
+    local : RateLimiter
         Parts that this VM uses when it has no pool.
-    pool : OperationRates or None
+    pool : RateLimiter or None
         Tokens of the failure domain, if this VM hosts them.
     host : str
         VM whose open pool is used, empty if none.
@@ -102,24 +102,24 @@
     vm: str
     domain: str
     tolerance: RateTolerance = RateTolerance()
-    alone: OperationRates = field(init=False)
-    pool: OperationRates | None = None
+    local: RateLimiter = field(init=False)
+    pool: RateLimiter | None = None
     host: str = ""
-    _rate_by_team: dict[str, TeamRate] = field(default_factory=dict)
-    _near: frozenset[str] = frozenset()
+    _rate_by_team: dict[str, RateLimit] = field(default_factory=dict)
+    _domain_peers: frozenset[str] = frozenset()
     _vms_by_domain: dict[str, int] = field(default_factory=dict)
     _stock_by_team: dict[str, TokenStock] = field(default_factory=dict)
     _alone_until: float = float("-inf")
     _first_since: float | None = None
-    _followed_at: float = float("-inf")
+    _updated_at: float = float("-inf")
 
     def __post_init__(self) -> None:
-        self.alone = OperationRates(self.vm, self.tolerance, relay_s=RELAY_S)
+        self.local = RateLimiter(self.vm, self.tolerance, relay_s=RELAY_S)
 
-    def configure(self, rate_by_team: dict[str, TeamRate]) -> None:
+    def configure(self, rate_by_team: dict[str, RateLimit]) -> None:
         """Take the rates of a configuration."""
         self._rate_by_team = rate_by_team
-        self.alone.configure(rate_by_team)
+        self.local.configure(rate_by_team)
         if self.pool is not None:
             self.pool.configure(rate_by_team)
 
@@ -133,13 +133,13 @@
         vms_by_domain : dict of str to int
             How many there are in each other domain.
         """
-        self._near = near - {self.vm}
+        self._domain_peers = near - {self.vm}
         self._vms_by_domain = vms_by_domain
-        self.alone.set_members(near, vms_by_domain)
+        self.local.set_members(near, vms_by_domain)
         if self.pool is not None:
             self._set_pool_members(self.pool)
 
-    def learn_domain(
+    def update_domain_demand(
         self,
         domain: str,
         demand_by_team: dict[str, float],
@@ -148,12 +148,12 @@
         is_full: bool,
     ) -> None:
         """Take the demand of another failure domain."""
-        self.alone.learn_domain(domain, demand_by_team, now, is_full=is_full)
+        self.local.update_domain_demand(domain, demand_by_team, now, is_full=is_full)
         if self.pool is not None:
-            self.pool.learn_domain(domain, demand_by_team, now, is_full=is_full)
+            self.pool.update_domain_demand(domain, demand_by_team, now, is_full=is_full)
 
-    def follow(
-        self, first: str, view_by_vm: dict[str, NeighbourView], now: float
+    def update_pool(
+        self, first: str, state_by_peer: dict[str, PeerPoolState], now: float
     ) -> None:
         """Open, close or change the pool.
 
@@ -161,49 +161,49 @@
         ----------
         first : str
             VM that should host the pool, as this VM sees it.
-        view_by_vm : dict of str to NeighbourView
+        state_by_peer : dict of str to PeerPoolState
             Views of the VMs of the own failure domain that are in contact.
         now : float
             Local time, in s.
         """
-        self._followed_at = now
+        self._updated_at = now
         if first != self.vm:
             self._first_since = None
             self.pool = None
-            view = view_by_vm.get(first)
+            view = state_by_peer.get(first)
             self._use(first if view is not None and view.has_pool else "", now)
             return
         if self._first_since is None:
             self._first_since = now
-        if not view_by_vm and self._near:
+        if not state_by_peer and self._domain_peers:
             # Cut off alone: only the own part is safe.
             self.pool = None
             self._use("", now)
             return
-        is_agreed = all(view.host in ("", self.vm) for view in view_by_vm.values())
+        is_agreed = all(view.host in ("", self.vm) for view in state_by_peer.values())
         if self.pool is None and (is_agreed or now - self._first_since > AGREEMENT_S):
             self._open(now)
         self._use(self.vm if self.pool is not None else "", now)
 
-    def admit(self, team: str, now: float) -> Verdict:
+    def admit(self, team: str, now: float) -> AdmissionDecision:
         """Tell whether an operation may start."""
         if team not in self._rate_by_team:
-            return Verdict.ADMITTED
+            return AdmissionDecision.ADMITTED
         self._leave_if_suspended(now)
         if not self.host or now < self._alone_until:
-            return _verdict(self.alone.admit(team, now))
-        self.alone.count(team, now)
+            return _verdict(self.local.admit(team, now))
+        self.local.count(team, now)
         if self.pool is not None:
             return _verdict(self.pool.admit(team, now))
         stock = self._stock_by_team.get(team)
         if stock is None or now - stock.granted_at > STOCK_LIFE_S or stock.tokens < 1.0:
-            return Verdict.ASK_HOST
+            return AdmissionDecision.ASK_HOST
         stock.tokens -= 1.0
-        return Verdict.ADMITTED
+        return AdmissionDecision.ADMITTED
 
-    def tokens_to_ask(self, team: str, now: float) -> int:
+    def tokens_to_request(self, team: str, now: float) -> int:
         """Return how many tokens to ask the host for."""
-        return 1 + int(self.alone.demand_of(team, now) * STOCK_S)
+        return 1 + int(self.local.demand_of(team, now) * STOCK_S)
 
     def grant(self, team: str, count: int, now: float) -> int:
         """Give tokens to another VM of the failure domain, 0 if there are none."""
@@ -215,38 +215,38 @@
             granted += 1
         return granted
 
-    def take_grant(self, team: str, tokens: int, now: float) -> bool:
+    def accept_grant(self, team: str, tokens: int, now: float) -> bool:
         """Take tokens and use one, False if none came."""
         if tokens < 1:
             return False
         self._stock_by_team[team] = TokenStock(tokens - 1.0, now)
         return True
 
-    def note_no_answer(self, now: float) -> None:
+    def on_host_unreachable(self, now: float) -> None:
         """Go on alone because the host gave no answer."""
         if now >= self._alone_until:
-            self.alone.empty(now)
+            self.local.empty(now)
         self._alone_until = now + SUSPECT_S
 
-    def give_back(self, team: str, now: float) -> None:
+    def return_token(self, team: str, now: float) -> None:
         """Return the token of an operation that reached no target."""
         if self.pool is not None:
-            self.pool.give_back(team)
+            self.pool.return_token(team)
         elif not self.host:
-            self.alone.give_back(team)
+            self.local.return_token(team)
         else:
             self._stock_by_team.setdefault(team, TokenStock(0.0, now)).tokens += 1.0
 
     def wait_s(self, team: str) -> float:
         """Return the time until the next token of a team, in s."""
-        return (self.pool or self.alone).wait_s(team)
+        return (self.pool or self.local).wait_s(team)
 
     def describe(self, team: str) -> str:
         """Return the inputs of the last decision about a team."""
-        return f"{(self.pool or self.alone).describe(team)} pool={self.host or 'none'}"
+        return f"{(self.pool or self.local).describe(team)} pool={self.host or 'none'}"
 
     def _leave_if_suspended(self, now: float) -> None:
-        if self.host and now - self._followed_at > AWAKE_S:
+        if self.host and now - self._updated_at > MAX_UPDATE_GAP_S:
             self.pool = None
             self._first_since = None
             self._use("", now)
@@ -254,10 +254,10 @@
     def _use(self, host: str, now: float) -> None:
         if host == self.host:
             return
-        was_alone = not self.host or now < self._alone_until
-        tokens_by_team = self.alone.take_tokens(now) if was_alone and host else {}
-        if not was_alone:
-            self.alone.empty(now)
+        was_local = not self.host or now < self._alone_until
+        tokens_by_team = self.local.take_tokens(now) if was_local and host else {}
+        if not was_local:
+            self.local.empty(now)
         self.host = host
         self._alone_until = float("-inf")
         if self.pool is not None:
@@ -268,21 +268,21 @@
         }
 
     def _open(self, now: float) -> None:
-        pool = OperationRates(
+        pool = RateLimiter(
             domain_source(self.domain),
             replace(self.tolerance, over=self.tolerance.over * POOL_OVER_PART),
-            reserve_part=self.alone.silent_part,
+            reserve_part=self.local.unreachable_part,
         )
         pool.configure(self._rate_by_team)
         pool.empty(now + OPENING_S)
         self._set_pool_members(pool)
-        self.alone.hand_demand(pool, now)
+        self.local.hand_demand(pool, now)
         self.pool = pool
 
-    def _set_pool_members(self, pool: OperationRates) -> None:
-        pool.own_vms = 1 + len(self._near)
+    def _set_pool_members(self, pool: RateLimiter) -> None:
+        pool.own_vms = 1 + len(self._domain_peers)
         pool.set_members(frozenset(), self._vms_by_domain)
 
 
-def _verdict(is_admitted: bool) -> Verdict:
-    return Verdict.ADMITTED if is_admitted else Verdict.REFUSED
+def _verdict(is_admitted: bool) -> AdmissionDecision:
+    return AdmissionDecision.ADMITTED if is_admitted else AdmissionDecision.REFUSED
--- a/packages/guavabarrow-core/src/guavabarrow_core/operation_rate.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/rate_limiter.py
@@ -97,7 +97,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TeamRate:
+class RateLimit:
     """Rate of a team over all VMs.
 
     Parameters
@@ -145,7 +145,7 @@
 
 
 @dataclass(slots=True)
-class OperationRates:
+class RateLimiter:
     """Rates of all teams at one VM.
 
     A source of demand is another VM of the own failure domain, or another domain.
@@ -165,8 +165,8 @@
 
     Examples
     --------
-    >>> rates = OperationRates("a")
-    >>> rates.configure({"team": TeamRate(10.0, 10.0)})
+    >>> rates = RateLimiter("a")
+    >>> rates.configure({"team": RateLimit(10.0, 10.0)})
     >>> rates.admit("team", 0.0)
     True
     """
@@ -177,7 +177,7 @@
     relay_s: float = 0.0
     reserve_part: Callable[[str], float] = _no_reserve
     empty_from: float | None = None
-    _rate_by_team: dict[str, TeamRate] = field(default_factory=dict)
+    _rate_by_team: dict[str, RateLimit] = field(default_factory=dict)
     _bucket_by_team: dict[str, TeamBucket] = field(default_factory=dict)
     _vms_by_source: dict[str, int] = field(default_factory=dict)
     _demand_by_source: dict[str, dict[str, float]] = field(default_factory=dict)
@@ -188,7 +188,7 @@
     _silent: frozenset[str] = frozenset()
     _kept_part_by_team: dict[str, dict[str, float]] = field(default_factory=dict)
 
-    def configure(self, rate_by_team: dict[str, TeamRate]) -> None:
+    def configure(self, rate_by_team: dict[str, RateLimit]) -> None:
         """Take the rates of a configuration."""
         self._rate_by_team = rate_by_team
 
@@ -219,7 +219,7 @@
         """Number of VMs that may serve, the own ones included."""
         return self.own_vms + sum(self._vms_by_source.values())
 
-    def learn(
+    def update_peer_demand(
         self,
         vm: str,
         demand_by_team: dict[str, float],
@@ -246,7 +246,7 @@
         self._demand_by_source[vm] = {**known, **demand_by_team}
         self._heard_at_by_source[vm] = now
 
-    def learn_domain(
+    def update_domain_demand(
         self,
         domain: str,
         demand_by_team: dict[str, float],
@@ -255,9 +255,11 @@
         is_full: bool = True,
     ) -> None:
         """Take the demand of another failure domain, as :meth:`learn` does."""
-        self.learn(domain_source(domain), demand_by_team, now, is_full=is_full)
+        self.update_peer_demand(
+            domain_source(domain), demand_by_team, now, is_full=is_full
+        )
 
-    def demand(self, now: float) -> dict[str, float]:
+    def publish_demand(self, now: float) -> dict[str, float]:
         """Return this VM's own demand by team, in operations per second.
 
         What is returned is told to the other VMs. This VM's own part is computed from
@@ -291,7 +293,7 @@
         part = max(0.0, 1.0 - kept) * own / (own + others)
         return max(0.0, part - self.reserve_part(team))
 
-    def silent_part(self, team: str) -> float:
+    def unreachable_part(self, team: str) -> float:
         """Return the part that is left to silent VMs of the own failure domain."""
         return sum(
             self._kept_part(team, source)
@@ -387,7 +389,7 @@
         bucket.decay(now)
         return bucket.demand_per_s
 
-    def hand_demand(self, pool: OperationRates, now: float) -> None:
+    def hand_demand(self, pool: RateLimiter, now: float) -> None:
         """Start a pool's estimates with the demand told in the own failure domain."""
         for team, rate in self._rate_by_team.items():
             demand = self._told_demand.get(team, 0.0) + sum(
@@ -422,7 +424,7 @@
             bucket.tokens = 0.0
             bucket.filled_at = now
 
-    def _bucket(self, team: str, rate: TeamRate, now: float) -> TeamBucket:
+    def _bucket(self, team: str, rate: RateLimit, now: float) -> TeamBucket:
         bucket = self._bucket_by_team.get(team)
         if bucket is None:
             tokens, filled_at = 0.0, now
@@ -437,7 +439,7 @@
         return bucket
 
     def _burst(
-        self, team: str, rate: TeamRate, part: float, span_s: float = inf
+        self, team: str, rate: RateLimit, part: float, span_s: float = inf
     ) -> float:
         """Return the most tokens; a VM with few callers has some, paid for by slack."""
         total = rate.burst + self.tolerance.slack * TOLERANCE_PART
@@ -449,10 +451,10 @@
         draw = xxh3_64_intdigest(f"{team}\0{self.vm}".encode()) / 2**64
         return whole + (1.0 if draw < burst - whole else 0.0)
 
-    def _refill_per_s(self, rate: TeamRate, part: float) -> float:
+    def _refill_per_s(self, rate: RateLimit, part: float) -> float:
         return rate.per_s * (1.0 + self.tolerance.over * TOLERANCE_PART) * part
 
-    def give_back(self, team: str) -> None:
+    def return_token(self, team: str) -> None:
         """Return the token of an operation that reached no target."""
         bucket = self._bucket_by_team.get(team)
         if bucket is not None:
--- a/packages/guavabarrow-core/src/guavabarrow_core/send_window.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/send_window.py
@@ -32,20 +32,20 @@
 
     Parameters
     ----------
-    most : float
+    max_size : float
         Largest window.
     size : float
         Statements that may be under way.
 
     Examples
     --------
-    >>> window = SendWindow(most=4.0, size=4.0)
+    >>> window = SendWindow(max_size=4.0, size=4.0)
     >>> window.on_refused()
     >>> round(window.size, 1), window.allows(1), window.allows(2)
     (2.8, True, False)
     """
 
-    most: float
+    max_size: float
     size: float
 
     def allows(self, running: int) -> bool:
@@ -57,7 +57,7 @@
         if response_s > SLOW_S:
             self.size = max(MIN_WINDOW, self.size * SLOW_FACTOR)
         else:
-            self.size = min(self.most, self.size + GROWTH / self.size)
+            self.size = min(self.max_size, self.size + GROWTH / self.size)
 
     def on_refused(self) -> None:
         """Take a refusal because the target was full."""
--- a/packages/guavabarrow-core/src/guavabarrow_core/session_configuration.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/session_configuration.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from guavabarrow_core.operation_rate import TeamRate
+    from guavabarrow_core.rate_limiter import RateLimit
 
 
 class Consistency(Enum):
@@ -74,7 +74,7 @@
 
     name: str
     keys: frozenset[str]
-    rate: TeamRate | None = None
+    rate: RateLimit | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +99,7 @@
     idle_transaction_s: float = 3.0
     max_message_bytes: int = 262144
 
-    def rates(self) -> dict[str, TeamRate]:
+    def rates(self) -> dict[str, RateLimit]:
         """Return the rates of all teams that have one."""
         return {
             team.name: team.rate
--- a/packages/guavabarrow-core/tests/test_lease.py
+++ b/packages/guavabarrow-core/tests/test_lease.py
@@ -78,11 +78,13 @@
         holder = node.lease.row.holder
         silent = self.now - node.heard_at.get(holder, -99.0) >= SILENT_S
         event = LeaseTick(
-            wants=rank < 2,
-            is_first=rank == 0,
-            holder_silent=not claims and silent and holder != node.vm,
-            known_epoch=max((e for e, _ in node.epoch_by_vm.values()), default=0),
-            rival=max(claims, default=None),
+            is_candidate=rank < 2,
+            is_preferred=rank == 0,
+            holder_unreachable=not claims and silent and holder != node.vm,
+            max_heartbeat_epoch=max(
+                (e for e, _ in node.epoch_by_vm.values()), default=0
+            ),
+            rival_claim=max(claims, default=None),
         )
         for action in node.lease.step(event, self.now):
             node.lease.step(self.perform(action), self.now)
@@ -163,7 +165,7 @@
     now = start
     for _ in range(count):
         now += TICK_S
-        event = LeaseTick(wants=True, is_first=True, holder_silent=True)
+        event = LeaseTick(is_candidate=True, is_preferred=True, holder_unreachable=True)
         for action in lease.step(event, now):
             if not up:
                 lease.step(StoreFailed(), now)
@@ -206,17 +208,23 @@
     assert lease.holds(now)
     now += 5.0
     assert not lease.holds(now)
-    lease.step(LeaseTick(wants=True, is_first=True, holder_silent=True), now)
+    lease.step(
+        LeaseTick(is_candidate=True, is_preferred=True, holder_unreachable=True), now
+    )
     assert not lease.holds(now)
-    rival = LeaseTick(False, False, False, known_epoch=2, rival=Claim(2, "b"))
-    lease.step(rival, now + TICK_S)
+    rival_claim = LeaseTick(
+        False, False, False, max_heartbeat_epoch=2, rival_claim=Claim(2, "b")
+    )
+    lease.step(rival_claim, now + TICK_S)
     _, now = run_alone(lease, store, now + TICK_S, 20, up=False)
     assert not lease.holds(now)
 
 
 def test_own_row_that_was_only_read_gives_no_lease():
     lease = Lease("a")
-    lease.step(LeaseTick(wants=True, is_first=True, holder_silent=True), 0.0)
+    lease.step(
+        LeaseTick(is_candidate=True, is_preferred=True, holder_unreachable=True), 0.0
+    )
     lease.step(RowRead(LeaseRow("a", 1, 3, 9), 0.0, written=False), 0.01)
     assert not lease.holds(0.02)
 
@@ -243,7 +251,7 @@
 @pytest.mark.parametrize("part", [0.35, 0.7, 0.99])
 def test_a_lease_is_not_taken_over_before_it_lapses(part):
     lease = Lease("b")
-    silent = LeaseTick(wants=True, is_first=True, holder_silent=True)
+    silent = LeaseTick(is_candidate=True, is_preferred=True, holder_unreachable=True)
     lease.step(silent, 0.0)
     lease.step(RowRead(LeaseRow("a", 1, 0, 7), 0.0), 0.0)
     now = 0.0
--- a/packages/guavabarrow-core/tests/test_rate_pool.py
+++ b/packages/guavabarrow-core/tests/test_pooled_rate_limiter.py
@@ -11,8 +11,12 @@
 import numpy as np
 import pytest
 
-from guavabarrow_core.operation_rate import RateTolerance, TeamRate
-from guavabarrow_core.rate_pool import NeighbourView, TeamRates, Verdict
+from guavabarrow_core.pooled_rate_limiter import (
+    AdmissionDecision,
+    PeerPoolState,
+    PooledRateLimiter,
+)
+from guavabarrow_core.rate_limiter import RateLimit, RateTolerance
 
 TEAM = "north-team"
 TOLERANCE = RateTolerance(window_s=5.0, over=0.1, slack=20.0)
@@ -25,7 +29,7 @@
 class Fleet:
     """VMs that pool their parts, with a network that can be cut."""
 
-    def __init__(self, size: int, rate: TeamRate) -> None:
+    def __init__(self, size: int, rate: RateLimit) -> None:
         self.rate = rate
         self.domain_of = {f"vm-{n:02}": f"domain-{n % DOMAINS}" for n in range(size)}
         self.vms = {name: self.create(name) for name in self.domain_of}
@@ -34,11 +38,11 @@
         self.dead: set[str] = set()
         self.side_of: dict[str, int] = {}
         self.heard_at: dict[tuple[str, str], float] = {}
-        self.view_of: dict[str, NeighbourView] = {}
+        self.view_of: dict[str, PeerPoolState] = {}
 
-    def create(self, name: str) -> TeamRates:
+    def create(self, name: str) -> PooledRateLimiter:
         domain = self.domain_of[name]
-        rates = TeamRates(name, domain, TOLERANCE)
+        rates = PooledRateLimiter(name, domain, TOLERANCE)
         rates.configure({TEAM: self.rate})
         sizes = Counter(self.domain_of.values())
         del sizes[domain]
@@ -77,31 +81,33 @@
             near = self.near(name, now)
             views = {vm: self.view_of[vm] for vm in near}
             first = min([*near, name])
-            rates.follow(first, views, now)
-            self.view_of[name] = NeighbourView(rates.host, rates.pool is not None)
-            demand = rates.alone.demand(now)
-            sums = rates.pool.demand(now) if rates.pool is not None else None
+            rates.update_pool(first, views, now)
+            self.view_of[name] = PeerPoolState(rates.host, rates.pool is not None)
+            demand = rates.local.publish_demand(now)
+            sums = rates.pool.publish_demand(now) if rates.pool is not None else None
             for other in self.vms:
                 if other == name or not self.reaches(name, other):
                     continue
                 self.heard_at[other, name] = now
                 if self.domain_of[other] == self.domain_of[name]:
-                    self.vms[other].alone.learn(name, demand, now)
+                    self.vms[other].local.update_peer_demand(name, demand, now)
                 elif sums is not None:
                     domain = self.domain_of[name]
-                    self.vms[other].learn_domain(domain, sums, now, is_full=True)
+                    self.vms[other].update_domain_demand(
+                        domain, sums, now, is_full=True
+                    )
 
     def admit(self, name: str, now: float) -> bool:
         rates = self.vms[name]
         verdict = rates.admit(TEAM, now)
-        if verdict is not Verdict.ASK_HOST:
-            return verdict is Verdict.ADMITTED
+        if verdict is not AdmissionDecision.ASK_HOST:
+            return verdict is AdmissionDecision.ADMITTED
         if not self.reaches(name, rates.host):
-            rates.note_no_answer(now)
+            rates.on_host_unreachable(now)
             return False
-        count = rates.tokens_to_ask(TEAM, now)
+        count = rates.tokens_to_request(TEAM, now)
         tokens = self.vms[rates.host].grant(TEAM, count, now)
-        return rates.take_grant(TEAM, tokens, now)
+        return rates.accept_grant(TEAM, tokens, now)
 
     def play(self, rng, start: float, length_s: float, per_s: float, weights) -> None:
         names = list(self.vms)
@@ -144,7 +150,7 @@
 @pytest.mark.parametrize("per_s", RATES)
 def test_a_team_within_its_rate_is_hardly_ever_refused(seed, size, per_s):
     rng = np.random.default_rng(seed)
-    fleet = Fleet(size, TeamRate(per_s, per_s))
+    fleet = Fleet(size, RateLimit(per_s, per_s))
     shares = weights(rng, size, callers_at=size // 3)
     fleet.play(rng, 0.0, 6.0, per_s / 1.6, shares)
     fleet.admitted_at.clear()
@@ -158,7 +164,7 @@
 @pytest.mark.parametrize("per_s", RATES)
 def test_the_rate_holds_when_a_team_sends_too_much(seed, size, per_s):
     rng = np.random.default_rng(seed)
-    fleet = Fleet(size, TeamRate(per_s, per_s))
+    fleet = Fleet(size, RateLimit(per_s, per_s))
     fleet.play(rng, 0.0, 8.0, per_s * 0.6, weights(rng, size))
     fleet.play(rng, 8.0, 12.0, per_s * 7.5, weights(rng, size))
     assert fleet.most_in_a_window() <= fleet.allowed
@@ -169,7 +175,7 @@
 @pytest.mark.parametrize("per_s", RATES)
 def test_the_rate_holds_when_all_vms_start_again(seed, size, per_s):
     rng = np.random.default_rng(seed)
-    fleet = Fleet(size, TeamRate(per_s, per_s))
+    fleet = Fleet(size, RateLimit(per_s, per_s))
     fleet.play(rng, 0.0, 8.0, per_s * 4, weights(rng, size))
     fleet.restart_all()
     fleet.play(rng, 8.7, 8.0, per_s * 4, weights(rng, size))
@@ -182,7 +188,7 @@
 @pytest.mark.parametrize("apart", [True, False])
 def test_the_rate_holds_while_hosts_and_others_are_cut_off(seed, size, per_s, apart):
     rng = np.random.default_rng(seed)
-    fleet = Fleet(size, TeamRate(per_s, per_s))
+    fleet = Fleet(size, RateLimit(per_s, per_s))
     fleet.play(rng, 0.0, 8.0, per_s, weights(rng, size))
     names = sorted(fleet.vms)
     fleet.cut({names[0], names[1], *names[size // 2 :: 7]}, apart=apart)
@@ -199,7 +205,7 @@
     seed, size, per_s
 ):
     rng = np.random.default_rng(seed)
-    fleet = Fleet(size, TeamRate(per_s, per_s))
+    fleet = Fleet(size, RateLimit(per_s, per_s))
     shares = weights(rng, size)
     fleet.play(rng, 0.0, 8.0, per_s / 1.6, shares)
     fleet.cut({vm for vm, domain in fleet.domain_of.items() if domain == "domain-1"})
@@ -220,7 +226,7 @@
     until all agree on another host is a tenth of 8 s; the bound is twice that.
     """
     rng = np.random.default_rng(seed)
-    fleet = Fleet(size, TeamRate(126.0, 126.0))
+    fleet = Fleet(size, RateLimit(126.0, 126.0))
     shares = weights(rng, size)
     fleet.play(rng, 0.0, 8.0, 126 / 1.6, shares)
     fleet.dead = {"vm-00"}
@@ -239,7 +245,7 @@
     lifetime has the tokens of a second; the pools open with the second pulse.
     """
     rng = np.random.default_rng(seed)
-    fleet = Fleet(size, TeamRate(126.0, 126.0))
+    fleet = Fleet(size, RateLimit(126.0, 126.0))
     shares = weights(rng, size)
     fleet.play(rng, 0.0, 8.0, 126 / 1.6, shares)
     fleet.restart_all()
@@ -250,58 +256,58 @@
 
 
 def test_tokens_that_a_vm_had_alone_go_along_into_the_pool():
-    host, guest = (TeamRates(f"vm-{n}", "north", TOLERANCE) for n in (0, 1))
+    host, guest = (PooledRateLimiter(f"vm-{n}", "north", TOLERANCE) for n in (0, 1))
     for rates in (host, guest):
-        rates.configure({TEAM: TeamRate(20.0, 20.0)})
+        rates.configure({TEAM: RateLimit(20.0, 20.0)})
         rates.set_members(frozenset({"vm-0", "vm-1"}), {})
-        assert rates.admit(TEAM, 0.0) is Verdict.ADMITTED
-    host.follow("vm-0", {"vm-1": NeighbourView("vm-0", False)}, 0.1)
-    guest.follow("vm-0", {"vm-0": NeighbourView("vm-0", True)}, 0.1)
-    assert host.admit(TEAM, 0.1) is Verdict.ADMITTED
-    assert guest.admit(TEAM, 0.1) is Verdict.ADMITTED
+        assert rates.admit(TEAM, 0.0) is AdmissionDecision.ADMITTED
+    host.update_pool("vm-0", {"vm-1": PeerPoolState("vm-0", False)}, 0.1)
+    guest.update_pool("vm-0", {"vm-0": PeerPoolState("vm-0", True)}, 0.1)
+    assert host.admit(TEAM, 0.1) is AdmissionDecision.ADMITTED
+    assert guest.admit(TEAM, 0.1) is AdmissionDecision.ADMITTED
 
 
 def test_a_host_does_not_open_before_the_others_left_the_former_one():
-    rates = TeamRates("vm-1", "north", TOLERANCE)
-    rates.configure({TEAM: TeamRate(10.0, 10.0)})
+    rates = PooledRateLimiter("vm-1", "north", TOLERANCE)
+    rates.configure({TEAM: RateLimit(10.0, 10.0)})
     rates.set_members(frozenset({"vm-0", "vm-1", "vm-2"}), {})
-    rates.follow("vm-1", {"vm-2": NeighbourView("vm-0", False)}, 0.0)
+    rates.update_pool("vm-1", {"vm-2": PeerPoolState("vm-0", False)}, 0.0)
     assert rates.pool is None
-    rates.follow("vm-1", {"vm-2": NeighbourView("", False)}, 0.7)
+    rates.update_pool("vm-1", {"vm-2": PeerPoolState("", False)}, 0.7)
     assert rates.pool is not None
 
 
 def test_a_vm_without_contact_to_its_domain_opens_no_pool():
-    rates = TeamRates("vm-0", "north", TOLERANCE)
-    rates.configure({TEAM: TeamRate(10.0, 10.0)})
+    rates = PooledRateLimiter("vm-0", "north", TOLERANCE)
+    rates.configure({TEAM: RateLimit(10.0, 10.0)})
     rates.set_members(frozenset({"vm-0", "vm-1"}), {})
-    rates.follow("vm-0", {}, 0.0)
+    rates.update_pool("vm-0", {}, 0.0)
     assert rates.pool is None
-    assert rates.admit(TEAM, 0.0) is not Verdict.ASK_HOST
+    assert rates.admit(TEAM, 0.0) is not AdmissionDecision.ASK_HOST
 
 
 def test_a_host_that_was_suspended_gives_nothing_from_its_old_pool():
-    rates = TeamRates("vm-0", "north", TOLERANCE)
-    rates.configure({TEAM: TeamRate(100.0, 100.0)})
+    rates = PooledRateLimiter("vm-0", "north", TOLERANCE)
+    rates.configure({TEAM: RateLimit(100.0, 100.0)})
     rates.set_members(frozenset({"vm-0", "vm-1"}), {})
-    view = {"vm-1": NeighbourView("vm-0", False)}
-    rates.follow("vm-0", view, 0.0)
-    rates.follow("vm-0", view, 1.0)
+    view = {"vm-1": PeerPoolState("vm-0", False)}
+    rates.update_pool("vm-0", view, 0.0)
+    rates.update_pool("vm-0", view, 1.0)
     assert rates.grant(TEAM, 5, 1.5) == 5
     assert rates.grant(TEAM, 5, 6.0) == 0
-    assert rates.admit(TEAM, 6.0) is Verdict.REFUSED
+    assert rates.admit(TEAM, 6.0) is AdmissionDecision.REFUSED
 
 
 def test_teams_without_a_rate_are_always_admitted():
-    rates = TeamRates("vm-0", "north", TOLERANCE)
-    assert rates.admit("another", 0.0) is Verdict.ADMITTED
+    rates = PooledRateLimiter("vm-0", "north", TOLERANCE)
+    assert rates.admit("another", 0.0) is AdmissionDecision.ADMITTED
 
 
 def test_tokens_that_were_not_used_in_time_are_dropped():
-    rates = TeamRates("vm-1", "north", TOLERANCE)
-    rates.configure({TEAM: TeamRate(10.0, 10.0)})
+    rates = PooledRateLimiter("vm-1", "north", TOLERANCE)
+    rates.configure({TEAM: RateLimit(10.0, 10.0)})
     rates.set_members(frozenset({"vm-0", "vm-1"}), {})
-    rates.follow("vm-0", {"vm-0": NeighbourView("vm-0", True)}, 0.0)
-    assert rates.take_grant(TEAM, 3, 0.0)
-    assert rates.admit(TEAM, 0.5) is Verdict.ADMITTED
-    assert rates.admit(TEAM, 1.5) is Verdict.ASK_HOST
+    rates.update_pool("vm-0", {"vm-0": PeerPoolState("vm-0", True)}, 0.0)
+    assert rates.accept_grant(TEAM, 3, 0.0)
+    assert rates.admit(TEAM, 0.5) is AdmissionDecision.ADMITTED
+    assert rates.admit(TEAM, 1.5) is AdmissionDecision.ASK_HOST
--- a/packages/guavabarrow-core/tests/test_operation_rate.py
+++ b/packages/guavabarrow-core/tests/test_rate_limiter.py
@@ -9,10 +9,10 @@
 import numpy as np
 import pytest
 
-from guavabarrow_core.operation_rate import (
-    OperationRates,
+from guavabarrow_core.rate_limiter import (
+    RateLimit,
+    RateLimiter,
     RateTolerance,
-    TeamRate,
 )
 
 TEAM = "north-team"
@@ -24,7 +24,7 @@
 class Fleet:
     """VMs that admit operations and tell each other their demand."""
 
-    def __init__(self, size: int, rate: TeamRate) -> None:
+    def __init__(self, size: int, rate: RateLimit) -> None:
         self.vms = {f"vm-{n}": self.create(f"vm-{n}", rate) for n in range(size)}
         self.rate = rate
         self.admitted_at: list[float] = []
@@ -34,8 +34,8 @@
             vm.set_members(frozenset(self.vms))
 
     @staticmethod
-    def create(name: str, rate: TeamRate) -> OperationRates:
-        rates = OperationRates(name, TOLERANCE)
+    def create(name: str, rate: RateLimit) -> RateLimiter:
+        rates = RateLimiter(name, TOLERANCE)
         rates.configure({TEAM: rate})
         return rates
 
@@ -57,10 +57,10 @@
 
     def gossip(self, now: float) -> None:
         for name, vm in self.vms.items():
-            demand = vm.demand(now)
+            demand = vm.publish_demand(now)
             for other, receiver in self.vms.items():
                 if other != name and not {name, other} & self.cut:
-                    receiver.learn(name, demand, now)
+                    receiver.update_peer_demand(name, demand, now)
 
     def most_in_a_window(self) -> int:
         times = np.array(self.admitted_at)
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("per_s", [12.0, 59.0])
 def test_all_vms_together_stay_within_the_rate_when_a_team_sends_too_much(seed, per_s):
     rng = np.random.default_rng(seed)
-    fleet = Fleet(9, TeamRate(per_s, per_s))
+    fleet = Fleet(9, RateLimit(per_s, per_s))
     fleet.play(rng, 0.0, 20.0, per_s * 7.5, weights(rng, 9))
     assert fleet.most_in_a_window() <= fleet.allowed
 
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_the_rate_holds_when_all_vms_are_killed_and_start_again(seed):
     rng = np.random.default_rng(seed)
-    fleet = Fleet(9, TeamRate(59.0, 59.0))
+    fleet = Fleet(9, RateLimit(59.0, 59.0))
     shares = weights(rng, 9)
     fleet.play(rng, 0.0, 10.0, 400.0, shares)
     for name in list(fleet.vms):
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_the_rate_holds_while_vms_are_cut_off_from_the_others(seed):
     rng = np.random.default_rng(seed)
-    fleet = Fleet(9, TeamRate(59.0, 59.0))
+    fleet = Fleet(9, RateLimit(59.0, 59.0))
     fleet.play(rng, 0.0, 6.0, 60.0, weights(rng, 9))
     fleet.cut = {"vm-0", "vm-1", "vm-2"}
     fleet.play(rng, 6.0, 12.0, 400.0, weights(rng, 9))
@@ -113,7 +113,7 @@
 def test_a_team_within_its_rate_is_hardly_ever_refused(seed):
     """Equal parts refuse a tenth and more of this load."""
     rng = np.random.default_rng(seed)
-    fleet = Fleet(9, TeamRate(59.0, 59.0))
+    fleet = Fleet(9, RateLimit(59.0, 59.0))
     shares = weights(rng, 9)
     fleet.play(rng, 0.0, 30.0, 59.0 / 1.6, shares)
     refused = fleet.asked - len(fleet.admitted_at)
@@ -125,7 +125,7 @@
 def test_a_large_fleet_stays_within_the_rate_when_a_team_sends_too_much(seed, per_s):
     """Load: one team presses at 72 VMs at once; two tokens at each were too many."""
     rng = np.random.default_rng(seed)
-    fleet = Fleet(72, TeamRate(per_s, per_s))
+    fleet = Fleet(72, RateLimit(per_s, per_s))
     shares = weights(rng, 72)
     fleet.play(rng, 0.0, 8.0, per_s * 0.6, shares)
     fleet.play(rng, 8.0, 12.0, per_s * 7.5, shares)
@@ -137,44 +137,44 @@
 def test_the_first_tokens_of_a_large_fleet_stay_within_the_rate(seed, per_s):
     """Load: a small team turns up at 72 VMs at once, where it was never seen."""
     rng = np.random.default_rng(seed)
-    fleet = Fleet(72, TeamRate(per_s, per_s))
+    fleet = Fleet(72, RateLimit(per_s, per_s))
     fleet.play(rng, 0.0, 8.0, 400.0, weights(rng, 72))
     assert fleet.most_in_a_window() <= fleet.allowed
 
 
 def test_a_token_that_was_not_used_comes_back():
-    rates = OperationRates("a")
-    rates.configure({TEAM: TeamRate(1.0, 1.0)})
+    rates = RateLimiter("a")
+    rates.configure({TEAM: RateLimit(1.0, 1.0)})
     while rates.admit(TEAM, 0.0):
         pass
-    rates.give_back(TEAM)
+    rates.return_token(TEAM)
     assert rates.admit(TEAM, 0.0)
 
 
 def test_a_lower_rate_binds_from_the_next_operation():
-    rates = OperationRates("a")
-    rates.configure({TEAM: TeamRate(100.0, 100.0)})
+    rates = RateLimiter("a")
+    rates.configure({TEAM: RateLimit(100.0, 100.0)})
     rates.admit(TEAM, 0.0)
-    rates.configure({TEAM: TeamRate(1.0, 1.0)})
+    rates.configure({TEAM: RateLimit(1.0, 1.0)})
     admitted = sum(rates.admit(TEAM, 0.0) for _ in range(50))
     assert admitted <= 2
 
 
 def test_demand_that_others_have_not_heard_of_does_not_widen_a_part():
-    rates = OperationRates("a")
-    rates.configure({TEAM: TeamRate(100.0, 100.0)})
+    rates = RateLimiter("a")
+    rates.configure({TEAM: RateLimit(100.0, 100.0)})
     rates.set_members(frozenset({"a", "b"}))
     for pulse in range(3):
         now = float(pulse)
         rates.admit(TEAM, now)
-        rates.learn("b", {TEAM: 10.0}, now)
-        rates.demand(now)
+        rates.update_peer_demand("b", {TEAM: 10.0}, now)
+        rates.publish_demand(now)
     agreed_part = rates.part(TEAM)
     for _ in range(200):
         rates.admit(TEAM, 3.0)
     # From here on nothing reaches the other VM, and nothing of it arrives.
-    rates.demand(3.0)
-    rates.demand(4.0)
+    rates.publish_demand(3.0)
+    rates.publish_demand(4.0)
     assert rates.part(TEAM) <= agreed_part + 0.01
 
 
@@ -186,7 +186,7 @@
     moment, and half of all operations were refused for 28 s.
     """
     rng = np.random.default_rng(seed)
-    fleet = Fleet(9, TeamRate(59.0, 59.0))
+    fleet = Fleet(9, RateLimit(59.0, 59.0))
     shares = weights(rng, 9)
     fleet.play(rng, 0.0, 6.0, 59.0 / 1.6, shares)
     fleet.cut = {"vm-0"}
@@ -206,16 +206,16 @@
     Seen on a played day: what was told last was never older than what was heard, so
     that a VM with nearly all callers kept a part of 0.002.
     """
-    rates = OperationRates("a")
-    rates.configure({TEAM: TeamRate(100.0, 100.0)})
+    rates = RateLimiter("a")
+    rates.configure({TEAM: RateLimit(100.0, 100.0)})
     rates.set_members(frozenset({"a", "b", "c"}))
     for step in range(60):
         now = step * 0.1
         for _ in range(5):
             rates.admit(TEAM, now)
         if step % 7 == 0:
-            rates.learn("b", {TEAM: 1.0}, now)
+            rates.update_peer_demand("b", {TEAM: 1.0}, now)
         if step % 7 == 3:
-            rates.learn("c", {TEAM: 1.0}, now)
-        rates.demand(now + 0.05)
+            rates.update_peer_demand("c", {TEAM: 1.0}, now)
+        rates.publish_demand(now + 0.05)
     assert rates.part(TEAM) > 0.8
--- a/packages/guavabarrow-core/tests/test_allowance.py
+++ b/packages/guavabarrow-core/tests/test_token_lending.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from guavabarrow_core.allowance import GRANT_TTL_S, DomainBucket, TokenCache
+from guavabarrow_core.token_lending import GRANT_TTL_S, DomainBucket, TokenCache
 
 RATE = 50.0
 BURST = 20.0
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/rate_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/rate_service.py
@@ -7,8 +7,12 @@
 from twisted.internet.defer import Deferred, TimeoutError
 
 from guavabarrow_core.exceptions import SessionError
-from guavabarrow_core.operation_rate import RateTolerance
-from guavabarrow_core.rate_pool import NeighbourView, TeamRates, Verdict
+from guavabarrow_core.pooled_rate_limiter import (
+    AdmissionDecision,
+    PeerPoolState,
+    PooledRateLimiter,
+)
+from guavabarrow_core.rate_limiter import RateTolerance
 from guavabarrow_core.session_messages import FailureCode
 from guavabarrow_daemon.fleet.fleet_messages import (
     FleetMessage,
@@ -74,7 +78,7 @@
 
     Attributes
     ----------
-    rates : TeamRates
+    rates : PooledRateLimiter
         Decides; this service tells it what others said.
     """
 
@@ -93,7 +97,7 @@
         tolerance = RateTolerance(
             settings.rate_window_s, settings.rate_over, settings.rate_slack
         )
-        self.rates = TeamRates(settings.vm, settings.domain, tolerance)
+        self.rates = PooledRateLimiter(settings.vm, settings.domain, tolerance)
         self._domain_by_vm: dict[str, str] = {}
         self._unheard: set[str] = set()
         self._news_inside = DemandNews()
@@ -120,42 +124,42 @@
         """
         now = now_s()
         verdict = self.rates.admit(team, now)
-        if verdict is Verdict.ASK_HOST:
+        if verdict is AdmissionDecision.ASK_HOST:
             verdict = await self._ask_host(team, now)
         self._metrics.admissions.labels(verdict.value).inc()
-        if verdict is Verdict.REFUSED:
+        if verdict is AdmissionDecision.REFUSED:
             self._refuse(self.rates.describe(team), self.rates.wait_s(team))
 
     def return_token(self, team: str) -> None:
         """Return the token of an operation that reached no target."""
-        self.rates.give_back(team, now_s())
+        self.rates.return_token(team, now_s())
 
-    async def _ask_host(self, team: str, now: float) -> Verdict:
+    async def _ask_host(self, team: str, now: float) -> AdmissionDecision:
         host = self.rates.host
         if not self._links.is_linked(host):
-            self.rates.note_no_answer(now)
+            self.rates.on_host_unreachable(now)
             return self.rates.admit(team, now)
         self._number += 1
         number = self._number
         answer: Deferred[TokenGrant] = Deferred()
         answer.addTimeout(GRANT_TIMEOUT_S, self._reactor)
         self._waiting[number] = answer
-        count = self.rates.tokens_to_ask(team, now)
+        count = self.rates.tokens_to_request(team, now)
         self._links.send(host, TokenRequest(number, team, count))
         try:
             grant = await answer
         except TimeoutError:
             now = now_s()
             log_decision("pool_unanswered", host=host, team=team)
-            self.rates.note_no_answer(now)
+            self.rates.on_host_unreachable(now)
             return self.rates.admit(team, now)
         finally:
             self._waiting.pop(number, None)
-        if self.rates.take_grant(team, grant.count, now_s()):
-            return Verdict.ADMITTED
-        self._metrics.admissions.labels(Verdict.REFUSED.value).inc()
+        if self.rates.accept_grant(team, grant.count, now_s()):
+            return AdmissionDecision.ADMITTED
+        self._metrics.admissions.labels(AdmissionDecision.REFUSED.value).inc()
         self._refuse(grant.detail, grant.wait_s)
-        return Verdict.REFUSED
+        return AdmissionDecision.REFUSED
 
     @staticmethod
     def _refuse(detail: str, wait_s: float) -> None:
@@ -217,14 +221,14 @@
         self._unheard.discard(vm)
         domain = self._domain_by_vm.get(vm)
         if domain == self._domain:
-            self.rates.alone.learn(
+            self.rates.local.update_peer_demand(
                 vm, heartbeat.demand_by_team, now, is_full=heartbeat.is_full
             )
             is_news = heartbeat.has_pool != (self.rates.host == vm)
             if is_news or self._fleet.observer() == self._vm != self.rates.host:
                 self._follow(now)
         elif domain is not None and heartbeat.has_pool:
-            self.rates.learn_domain(
+            self.rates.update_domain_demand(
                 domain, heartbeat.demand_by_team, now, is_full=heartbeat.is_full
             )
 
@@ -239,8 +243,8 @@
             if self._domain_by_vm.get(vm) == self._domain:
                 _, heartbeat = self._fleet.last_heartbeat(vm)
                 host = UNKNOWN_HOST if vm in self._unheard else heartbeat.pool_host
-                view_by_vm[vm] = NeighbourView(host, heartbeat.has_pool)
-        self.rates.follow(self._fleet.observer(), view_by_vm, now)
+                view_by_vm[vm] = PeerPoolState(host, heartbeat.has_pool)
+        self.rates.update_pool(self._fleet.observer(), view_by_vm, now)
         if self.rates.host != former:
             log_decision("pool_host_changed", host=self.rates.host, former=former)
         if self.rates.pool is not None and not had_pool:
@@ -252,9 +256,13 @@
         now = now_s()
         self._set_members()
         self._follow(now)
-        draft.inside.update(self._news_inside.take(self.rates.alone.demand(now)))
+        draft.inside.update(
+            self._news_inside.take(self.rates.local.publish_demand(now))
+        )
         draft.inside["pool_host"] = self.rates.host
         if self.rates.pool is None:
             return
         draft.common["has_pool"] = True
-        draft.outside.update(self._news_outside.take(self.rates.pool.demand(now)))
+        draft.outside.update(
+            self._news_outside.take(self.rates.pool.publish_demand(now))
+        )
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/lease_runner.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/lease_runner.py
@@ -68,9 +68,9 @@
         return self._lease.holds(self._reactor.seconds())
 
     @property
-    def is_founder(self) -> bool:
+    def is_initial_holder(self) -> bool:
         """Whether nobody has held the lease before, so nothing can be granted."""
-        return self._lease.is_founder
+        return self._lease.is_initial_holder
 
     @property
     def epoch(self) -> int:
@@ -99,16 +99,16 @@
             for beat in table.by_vm.values()
             if beat.domain == self._settings.domain
         ]
-        rival = None
+        rival_claim = None
         if claim is not None and claim.vm != self._settings.vm:
-            rival = Claim(claim.ledger_epoch, claim.vm)
+            rival_claim = Claim(claim.ledger_epoch, claim.vm)
         is_silent = table.since_heartbeat_s(self._lease.row.holder) > HOLDER_SILENT_S
         return LeaseTick(
-            wants=rank < STANDBYS and not self._is_leaving,
-            is_first=rank == 0,
-            holder_silent=claim is None and is_silent,
-            known_epoch=max(epochs, default=0),
-            rival=rival,
+            is_candidate=rank < STANDBYS and not self._is_leaving,
+            is_preferred=rank == 0,
+            holder_unreachable=claim is None and is_silent,
+            max_heartbeat_epoch=max(epochs, default=0),
+            rival_claim=rival_claim,
         )
 
     async def _perform(self, action: LeaseAction) -> None:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/ledger_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/ledger_service.py
@@ -8,10 +8,10 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import LoopingCall
 
-from guavabarrow_core.allowance import GRANT_TTL_S, DomainBucket
 from guavabarrow_core.exceptions import Overloaded, RateExceeded
 from guavabarrow_core.fleet import OPEN_TEAM, TeamLimits
 from guavabarrow_core.rendezvous import ranked
+from guavabarrow_core.token_lending import GRANT_TTL_S, DomainBucket
 from guavabarrow_daemon.configuration_service import ConfigurationService
 from guavabarrow_daemon.kernel import Kernel, Service
 from guavabarrow_daemon.lease_runner import LeaseRunner
@@ -97,9 +97,9 @@
         return self._lease.is_holder
 
     @property
-    def is_founder(self) -> bool:
+    def is_initial_holder(self) -> bool:
         """Whether nobody has held the lease before, so nothing can be granted."""
-        return self._lease.is_founder
+        return self._lease.is_initial_holder
 
     async def start(self) -> None:
         """Start to contend for the lease."""
@@ -322,7 +322,7 @@
         bucket = self._bucket_by_team.get(team)
         if bucket is None:
             limits = self._domain_limits(team)
-            level = limits.burst if self.is_founder else 0.0
+            level = limits.burst if self.is_initial_holder else 0.0
             bucket = DomainBucket(
                 limits.rate_per_s, limits.burst, self._opens_at, level
             )
@@ -369,7 +369,7 @@
         self._was_holder = is_holder
         self._held_epoch = self._lease.epoch
         self._opens_at = self._reactor.seconds()
-        if not self.is_founder:
+        if not self.is_initial_holder:
             self._opens_at += GRANT_TTL_S
         self._bucket_by_team.clear()
         self._loan_rounds.clear()
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/permit_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/permit_service.py
@@ -204,7 +204,7 @@
             self._table_by_target.clear()
         elif self._holder_since is None:
             self._holder_since = now
-            if self._ledger.is_founder:
+            if self._ledger.is_initial_holder:
                 self._holder_since -= REGISTRATION_S
 
     def _permit_table(self, target: str) -> PermitTable | None:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/team_admission.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/team_admission.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from guavabarrow_core.allowance import GRANT_TTL_S, TokenCache
 from guavabarrow_core.exceptions import Overloaded, RateExceeded
+from guavabarrow_core.token_lending import GRANT_TTL_S, TokenCache
 
 if TYPE_CHECKING:
     from twisted.internet.defer import Deferred
