--- a/packages/guavabarrow-core/src/guavabarrow_core/rate_limiter.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/rate_limiter.py
@@ -314,14 +314,14 @@
 
     def _agree(self, silent: frozenset[str], now: float) -> None:
         """Use the newest figures that every VM in contact can have heard."""
-        heard = [
+        last_updates = [
             at
             for source, at in self._heard_at_by_source.items()
             if source not in silent
         ]
-        limit = min(heard, default=now)
-        limit -= self.relay_s
-        while self._told and self._told[0][0] <= limit:
+        cutoff = min(last_updates, default=now)
+        cutoff -= self.relay_s
+        while self._told and self._told[0][0] <= cutoff:
             _, self._agreed_demand = self._told.popleft()
         while len(self._told) > MAX_TOLD:
             self._told.popleft()
--- a/tests/mutations/catalogue.py
+++ b/tests/mutations/catalogue.py
@@ -100,8 +100,8 @@
     ),
     Mutation(
         "rate_limiter",
-        "limit = min(heard, default=now)",
-        "limit = now",
+        "cutoff = min(last_updates, default=now)",
+        "cutoff = now",
         "test_rate_limiter",
     ),
     Mutation(
