--- a/packages/guavabarrow-core/src/guavabarrow_core/group_monitor.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/group_monitor.py
@@ -1,9 +1,9 @@
-"""Detects failed primaries and promotes replacements.
+"""Failure detection and promotion for a database group.
 
-Nobody else orders a promotion. Safety rests on the databases: a database promises
-a term to one owner and refuses log of lower terms, so duelling VMs cannot both
-promote, and a superseded primary cannot reach a majority. Timing only decides how
-long a group is without a primary.
+Nothing else starts a promotion. Safety depends on the databases alone: a database
+promises a term to one owner and rejects log entries of lower terms, so competing VMs
+cannot both promote, and a superseded primary cannot reach a majority. Timing affects
+only how long a group is without a primary.
 """
 
 from __future__ import annotations
@@ -15,36 +15,36 @@
 from guavabarrow_core.group_view import DatabaseReport, GroupView, Role
 from guavabarrow_core.log_position import LogPosition  # noqa: TC001 (decoded)
 
-SILENCE_S = 1.0
-LINK_SILENCE_S = 0.3
-ISOLATION_S = 1.0
+ANSWER_TIMEOUT_S = 1.0
+LINK_TIMEOUT_S = 0.3
+ISOLATION_TIMEOUT_S = 1.0
 RANK_DELAY_S = 0.15
 JITTER_S = 0.05
-SETTLE_S = 0.5
+PROMOTION_COOLDOWN_S = 0.5
 ROUND_TIMEOUT_S = 0.5
 BACKOFF_BASE_S = 0.1
 BACKOFF_LIMIT_S = 2.0
-HANDOVER_LIMIT_S = 3.0
+HANDOVER_TIMEOUT_S = 3.0
 HANDOVER_RANK_DELAY_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class ReportReceived:
-    """A probe was answered."""
+    """A database answered a probe."""
 
     report: DatabaseReport
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeFailed:
-    """A probe got no answer.
+    """A probe failed.
 
     Parameters
     ----------
     database : str
         Database that was probed.
     connection_broken : bool
-        Whether the connection was refused or reset, rather than silent.
+        True if the connection was refused or reset, False if the probe timed out.
     """
 
     database: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceReplied:
-    """A database answered a fence.
+    """A database answered a fence request.
 
     Parameters
     ----------
@@ -64,7 +64,7 @@
     granted : bool
         Whether the database promised the term to this VM.
     last : LogPosition or None
-        Its last entry, if granted.
+        Position of its last log entry, if granted.
     promised_term : int
         Highest term it has promised.
     """
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromoteReplied:
-    """A database answered a promotion."""
+    """A database answered a promotion request."""
 
     database: str
     term: int
@@ -87,16 +87,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """Membership of the group or of the fleet changed.
+    """The members of the group or the VMs of the fleet changed.
 
     Parameters
     ----------
     databases : tuple of str
         Members of the group.
     leaving : frozenset of str
-        Members that must get no new work.
+        Members that are being drained and get no new work.
     rank : int
-        Rank of this VM for promoting in this group, 0 goes first.
+        Promotion rank of this VM in this group; rank 0 acts first.
     """
 
     databases: tuple[str, ...]
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """Periodic timer event."""
 
 
 Event = (
@@ -132,12 +132,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PromotionEnded:
-    """A promotion succeeded or was given up.
+    """A promotion attempt succeeded or was abandoned.
 
     Parameters
     ----------
     database : str or None
-        The new primary, None if given up.
+        The new primary, None if the attempt was abandoned.
     term : int
         Term of the attempt.
     detection_s, fencing_s, promotion_s : float
@@ -155,7 +155,7 @@
 
 
 class Phase(Enum):
-    """Phase of a promotion."""
+    """Phase of failure detection and promotion."""
 
     STEADY = "steady"
     SUSPECTED = "suspected"
@@ -165,8 +165,8 @@
 
 
 @dataclass(slots=True)
-class Attempt:
-    """One promotion attempt."""
+class PromotionAttempt:
+    """State of one promotion attempt."""
 
     term: int
     started_at: float
@@ -179,28 +179,29 @@
 
 @dataclass(slots=True)
 class Contact:
-    """When a database was last heard of, and whether its connection broke since."""
+    """Time of a database's last answer, and whether its connection broke since."""
 
-    heard_at: float
+    last_answer_at: float
     broken: bool = False
 
 
 class GroupMonitor:
-    """State machine that keeps one database group with a primary.
+    """State machine that ensures that a database group has a primary.
 
     Parameters
     ----------
     databases : tuple of str
         Members of the group.
     rank : int
-        Rank of this VM for promoting, 0 goes first.
+        Promotion rank of this VM; rank 0 acts first.
     seed : int
-        Seed of the jitter.
+        Seed of the random jitter.
     now : float
-        Monotonic time.
+        Monotonic time in seconds.
     corroborate : bool
-        Whether broken connections and replication links shorten detection;
-        False gives the baseline that only waits for silence.
+        Whether broken connections and the replicas' replication links are used as
+        evidence to shorten detection; False selects the baseline that uses only the
+        answer timeout.
     """
 
     def __init__(
@@ -221,36 +222,36 @@
         self._created_at = now
         self._contacts: dict[str, Contact] = {}
         self._suspected_at = 0.0
-        self._act_at = 0.0
+        self._next_attempt_at = 0.0
         self._isolated_since: float | None = None
         self._handover_since: float | None = None
         self._failures = 0
-        self._attempt: Attempt | None = None
+        self._attempt: PromotionAttempt | None = None
         self._highest_refused_term = 0
 
     @property
     def pauses_writes(self) -> bool:
-        """Whether new writes must wait because the primary is being moved."""
+        """Whether new writes must wait because the primary is being handed over."""
         return self._handover_since is not None
 
     def since_answer_s(self, database: str, now: float) -> float:
-        """Return for how long a database has not answered, seconds."""
-        return now - self._contact(database).heard_at
+        """Return the time since the last answer of a database, in seconds."""
+        return now - self._contact(database).last_answer_at
 
     def step(self, event: Event, now: float) -> list[Action]:
-        """Take one event.
+        """Process one event.
 
         Parameters
         ----------
         event : Event
-            What happened.
+            Event to process.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         list of Action
-            What the caller must do.
+            Actions that the caller must perform.
         """
         actions: list[Action] = []
         match event:
@@ -269,19 +270,19 @@
                 self._rank = rank
             case Tick():
                 pass
-        return actions + self._advance(now)
+        return actions + self._evaluate(now)
 
     def _record(self, report: DatabaseReport, now: float) -> None:
         if not self.view.record(report):
             return
         contact = self._contact(report.database)
-        contact.heard_at = now
+        contact.last_answer_at = now
         contact.broken = False
 
     def _contact(self, database: str) -> Contact:
         return self._contacts.setdefault(database, Contact(self._created_at))
 
-    def _advance(self, now: float) -> list[Action]:
+    def _evaluate(self, now: float) -> list[Action]:
         self._track_handover(now)
         if self.phase in (Phase.FENCING, Phase.PROMOTING):
             return self._check_round_timeout(now)
@@ -290,8 +291,8 @@
             self._failures = 0
             return []
         if self.phase is Phase.STEADY:
-            self._suspect(now)
-        if now < self._act_at:
+            self._start_suspicion(now)
+        if now < self._next_attempt_at:
             return []
         return self._start_fencing(now)
 
@@ -299,7 +300,9 @@
         primary = self.view.primary
         if primary is None:
             waited_s = now - self._created_at
-            return waited_s >= SILENCE_S and self._can_fence(now, without=None)
+            return waited_s >= ANSWER_TIMEOUT_S and self._can_reach_majority(
+                now, without=None
+            )
         if self._is_isolated(primary, now):
             return True
         if self._is_failed(primary, now):
@@ -308,73 +311,79 @@
 
     def _is_failed(self, primary: DatabaseReport, now: float) -> bool:
         contact = self._contact(primary.database)
-        silent = now - contact.heard_at >= SILENCE_S
-        if not self._can_fence(now, without=primary.database):
+        timed_out = now - contact.last_answer_at >= ANSWER_TIMEOUT_S
+        if not self._can_reach_majority(now, without=primary.database):
             return False
         if not self._corroborate:
-            return now - contact.heard_at >= 2 * SILENCE_S
-        if not (silent or contact.broken):
+            return now - contact.last_answer_at >= 2 * ANSWER_TIMEOUT_S
+        if not (timed_out or contact.broken):
             return False
         return self._replicas_lost_link(primary, now)
 
     def _is_isolated(self, primary: DatabaseReport, now: float) -> bool:
         if not self._corroborate:
             return False
-        alone = self._can_fence(
+        is_cut_off = self._can_reach_majority(
             now, without=primary.database
         ) and self._replicas_lost_link(primary, now)
-        if not alone:
+        if not is_cut_off:
             self._isolated_since = None
             return False
         if self._isolated_since is None:
             self._isolated_since = now
-        return now - self._isolated_since >= ISOLATION_S
+        return now - self._isolated_since >= ISOLATION_TIMEOUT_S
 
     def _replicas_lost_link(self, primary: DatabaseReport, now: float) -> bool:
         term = primary.lineage.last.term
-        for report in self._heard_replicas(primary.database, now):
+        for report in self._reachable_replicas(primary.database, now):
             if report.promised_term > term:
                 continue
-            if report.link_age_s is not None and report.link_age_s < LINK_SILENCE_S:
+            if report.link_age_s is not None and report.link_age_s < LINK_TIMEOUT_S:
                 return False
         return True
 
-    def _heard_replicas(self, primary: str, now: float) -> list[DatabaseReport]:
+    def _reachable_replicas(self, primary: str, now: float) -> list[DatabaseReport]:
         return [
             report
             for name, report in self.view.by_database.items()
-            if name != primary and self._is_heard(name, now)
+            if name != primary and self._is_reachable(name, now)
         ]
 
-    def _is_heard(self, database: str, now: float) -> bool:
+    def _is_reachable(self, database: str, now: float) -> bool:
         contact = self._contact(database)
-        known = database in self.view.by_database
-        return known and not contact.broken and now - contact.heard_at < SILENCE_S
+        has_report = database in self.view.by_database
+        return (
+            has_report
+            and not contact.broken
+            and now - contact.last_answer_at < ANSWER_TIMEOUT_S
+        )
 
-    def _can_fence(self, now: float, *, without: str | None) -> bool:
-        heard = [
+    def _can_reach_majority(self, now: float, *, without: str | None) -> bool:
+        reachable = [
             name
             for name in self.view.databases
-            if name != without and self._is_heard(name, now)
+            if name != without and self._is_reachable(name, now)
         ]
-        return len(heard) >= self.view.majority
+        return len(reachable) >= self.view.majority
 
-    def _suspect(self, now: float) -> None:
+    def _start_suspicion(self, now: float) -> None:
         self.phase = Phase.SUSPECTED
-        self._suspected_at = self._last_contact_with_primary(now)
+        self._suspected_at = self._last_primary_answer_at(now)
         delay_s = self._rank * RANK_DELAY_S
         if self._rank:
             delay_s += self._random.random() * JITTER_S
-        self._act_at = now + delay_s
+        self._next_attempt_at = now + delay_s
 
-    def _last_contact_with_primary(self, now: float) -> float:
+    def _last_primary_answer_at(self, now: float) -> float:
         primary = self.view.primary
-        return now if primary is None else self._contact(primary.database).heard_at
+        return (
+            now if primary is None else self._contact(primary.database).last_answer_at
+        )
 
     def _start_fencing(self, now: float) -> list[Action]:
         term = max(self.view.highest_promised_term, self._highest_refused_term) + 1
         preferred = self._successor() if self._handover_since is not None else None
-        self._attempt = Attempt(term, now, preferred)
+        self._attempt = PromotionAttempt(term, now, preferred)
         self.phase = Phase.FENCING
         return [SendFence(database, term) for database in self.view.databases]
 
@@ -394,20 +403,20 @@
             attempt.refused.add(event.database)
             remaining = len(self.view.databases) - len(attempt.refused)
             if remaining < self.view.majority:
-                return self._give_up(now)
+                return self._abort_attempt(now)
             return []
         attempt.last_by_database[event.database] = event.last
         if len(attempt.last_by_database) < self.view.majority:
             return []
         return self._start_promoting(attempt, now)
 
-    def _start_promoting(self, attempt: Attempt, now: float) -> list[Action]:
+    def _start_promoting(self, attempt: PromotionAttempt, now: float) -> list[Action]:
         attempt.fenced_at = now
         attempt.candidate = self._most_advanced(attempt)
         self.phase = Phase.PROMOTING
         return [SendPromote(attempt.candidate, attempt.term)]
 
-    def _most_advanced(self, attempt: Attempt) -> str:
+    def _most_advanced(self, attempt: PromotionAttempt) -> str:
         return max(
             attempt.last_by_database,
             key=lambda name: (
@@ -427,10 +436,10 @@
         ):
             return []
         if not event.accepted:
-            return self._give_up(now)
+            return self._abort_attempt(now)
         self._attempt = None
         self.phase = Phase.BACKOFF
-        self._act_at = now + SETTLE_S
+        self._next_attempt_at = now + PROMOTION_COOLDOWN_S
         return [
             PromotionEnded(
                 event.database,
@@ -450,23 +459,23 @@
         )
         if now - started_at < ROUND_TIMEOUT_S:
             return []
-        return self._give_up(now)
+        return self._abort_attempt(now)
 
-    def _give_up(self, now: float) -> list[Action]:
+    def _abort_attempt(self, now: float) -> list[Action]:
         attempt = self._attempt
         self._attempt = None
         self._failures += 1
         limit_s = min(BACKOFF_LIMIT_S, BACKOFF_BASE_S * 2**self._failures)
         self.phase = Phase.BACKOFF
-        self._act_at = now + limit_s * (0.5 + self._random.random() / 2)
+        self._next_attempt_at = now + limit_s * (0.5 + self._random.random() / 2)
         if attempt is None:
             return []
         return [PromotionEnded(None, attempt.term, 0.0, 0.0, 0.0)]
 
     def _track_handover(self, now: float) -> None:
         primary = self.view.primary
-        leaves = primary is not None and primary.database in self.leaving
-        if not leaves or self._successor() is None:
+        is_leaving = primary is not None and primary.database in self.leaving
+        if not is_leaving or self._successor() is None:
             self._handover_since = None
         elif self._handover_since is None:
             self._handover_since = now
@@ -485,14 +494,14 @@
     def _handover_is_due(self, primary: DatabaseReport, now: float) -> bool:
         if self._handover_since is None:
             return False
-        held_s = now - self._handover_since
-        if held_s < self._rank * HANDOVER_RANK_DELAY_S:
+        waited_s = now - self._handover_since
+        if waited_s < self._rank * HANDOVER_RANK_DELAY_S:
             return False
-        if held_s >= HANDOVER_LIMIT_S:
+        if waited_s >= HANDOVER_TIMEOUT_S:
             return True
         successor = self._successor()
         if successor is None or primary.open_transactions > 0:
             return False
-        after_hold = primary.sent_at > self._handover_since + LINK_SILENCE_S
+        writes_paused = primary.sent_at > self._handover_since + LINK_TIMEOUT_S
         replica = self.view.by_database[successor]
-        return after_hold and replica.lineage.contains(primary.lineage.last)
+        return writes_paused and replica.lineage.contains(primary.lineage.last)
--- a/packages/guavabarrow-core/src/guavabarrow_core/group_view.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/group_view.py
@@ -1,4 +1,4 @@
-"""What one VM knows of a database group, and what follows from it."""
+"""A VM's view of a database group, and the conclusions that it permits."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DatabaseReport:
-    """State of one database as of a probe.
+    """State of one database, as reported to a probe.
 
     Parameters
     ----------
@@ -37,11 +37,11 @@
     role : Role
         Role at the time of the answer.
     promised_term : int
-        Highest term it has promised; it refuses log of lower terms.
+        Highest term it has promised; it rejects log entries of lower terms.
     lineage : Lineage
-        Content of its log.
+        Terms and length of its log.
     link_age_s : float or None
-        Replicas: seconds since they heard from a primary; None if the link is broken.
+        Replicas: seconds since the primary's last message; None if the link is broken.
     open_transactions : int
         Transactions open on client connections.
     sent_at : float
@@ -62,25 +62,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PrimarySample:
-    """The primary's position, proven current at a time.
+    """A log position of the primary, and the time as of which it was current.
 
     Parameters
     ----------
     as_of : float
-        At this time no later primary could acknowledge a write.
+        Up to this time, no later primary can have acknowledged a write.
     position : LogPosition
         Covers every write that was acknowledged before ``as_of``.
-    seen_at : float
+    sampled_at : float
         Time at which the sample was taken.
     """
 
     as_of: float
     position: LogPosition
-    seen_at: float
+    sampled_at: float
 
 
 class GroupView:
-    """Latest reports of a group's databases.
+    """Latest reports of the databases of a group.
 
     Parameters
     ----------
@@ -101,7 +101,7 @@
 
     @property
     def majority(self) -> int:
-        """Number of databases that every two majorities share at least one of."""
+        """Smallest number such that any two sets of that many databases overlap."""
         return len(self.databases) // 2 + 1
 
     @property
@@ -129,18 +129,18 @@
 
     @property
     def confirmed_at(self) -> float:
-        """Time up to which the primary is proven not to be superseded."""
+        """Time up to which the primary was certainly not superseded."""
         return self._samples[-1].as_of if self._samples else float("-inf")
 
     def set_databases(self, databases: tuple[str, ...]) -> None:
-        """Replace the members, forgetting reports of those removed."""
+        """Replace the members and discard reports of removed ones."""
         self.databases = databases
         for name in set(self.by_database) - set(databases):
             del self.by_database[name]
         self.primary = self._find_primary()
 
     def record(self, report: DatabaseReport) -> bool:
-        """Store a report unless a newer one is known.
+        """Store a report unless a newer one is stored already.
 
         Parameters
         ----------
@@ -152,22 +152,22 @@
         bool
             False if the report was outdated.
         """
-        known = self.by_database.get(report.database)
-        if known is not None and known.sent_at > report.sent_at:
+        previous = self.by_database.get(report.database)
+        if previous is not None and previous.sent_at > report.sent_at:
             return False
         self.by_database[report.database] = report
         self.primary = self._find_primary()
-        self._sample(report.received_at)
+        self._record_sample(report.received_at)
         return True
 
     def durability(self, position: LogPosition) -> Durability:
-        """Judge whether an entry can still be lost.
+        """Return whether an entry can still be lost.
 
-        An entry is durable once a majority of the databases hold an entry of one
-        and the same last term at or after it. Counting entries of an older term
-        alone is not enough: a later primary may still overwrite them (Ongaro and
-        Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014,
-        section 5.4.2).
+        An entry is durable once a majority of the databases have the same last term
+        and hold a log of that term up to or beyond the entry. Replicas that hold the
+        entry but end in an older term are not enough: a later primary may still
+        overwrite it (Ongaro and Ousterhout, "In Search of an Understandable Consensus
+        Algorithm", 2014, section 5.4.2).
 
         Parameters
         ----------
@@ -189,7 +189,7 @@
         return Durability.PENDING
 
     def durable_lineage(self) -> Lineage | None:
-        """Return the log up to the highest entry known to be durable."""
+        """Return the log up to its highest durable entry, None if there is none."""
         by_term: dict[int, list[Lineage]] = {}
         for report in self.by_database.values():
             by_term.setdefault(report.lineage.last.term, []).append(report.lineage)
@@ -204,8 +204,9 @@
     def safe_time(self, report: DatabaseReport) -> float:
         """Return the time up to which a database holds all acknowledged writes.
 
-        Only monotonic time of this VM and answers of a majority enter, so neither
-        clock steps, lag nor a superseded primary can make data look younger.
+        It is derived only from this VM's monotonic clock and from answers of a
+        majority, so clock steps, replication lag and superseded primaries cannot make
+        data appear fresher than it is.
 
         Parameters
         ----------
@@ -215,14 +216,14 @@
         Returns
         -------
         float
-            Monotonic time; minus infinity if nothing is proven.
+            Monotonic time in seconds; minus infinity if it cannot be determined.
         """
         for sample in reversed(self._samples):
             if report.lineage.satisfies(sample.position):
                 return sample.as_of
         return float("-inf")
 
-    def _sample(self, now: float) -> None:
+    def _record_sample(self, now: float) -> None:
         primary = self.primary
         if primary is None:
             return
--- a/packages/guavabarrow-core/src/guavabarrow_core/trace.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/trace.py
@@ -1,4 +1,4 @@
-"""Recorded decisions of group monitors, and their replay into the core."""
+"""Traces of group monitors, and their deterministic replay."""
 
 from __future__ import annotations
 
@@ -43,18 +43,18 @@
 
 
 class TraceError(GuavabarrowError):
-    """A trace that cannot be read or does not begin with a start."""
+    """A trace that cannot be decoded, or a step without a preceding start."""
 
 
-class Item(msgspec.Struct, frozen=True):
-    """An event or action: the name of its type and its fields."""
+class TraceItem(msgspec.Struct, frozen=True):
+    """An event or action, encoded as the name of its type and its fields."""
 
     kind: str
     fields: dict[str, Any]
 
 
 class TraceStart(msgspec.Struct, tag="start", frozen=True):
-    """How the monitor of a group was created."""
+    """Parameters with which the monitor of a group was created."""
 
     group: str
     databases: tuple[str, ...]
@@ -65,21 +65,21 @@
 
 
 class TraceStep(msgspec.Struct, tag="step", frozen=True):
-    """One event, when it came, and the actions that it caused."""
+    """One event, its time, and the resulting actions."""
 
     group: str
     now: float
-    event: Item
-    actions: list[Item]
+    event: TraceItem
+    actions: list[TraceItem]
 
 
 class TraceOutcome(msgspec.Struct, tag="outcome", frozen=True):
-    """What a trace must lead to, stated by people.
+    """Expected outcome of a trace, written by hand.
 
     Parameters
     ----------
     group : str
-        Group that is judged.
+        Group that the expectation applies to.
     promoted : tuple of str
         Databases that must have been promoted, in order.
     """
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A step whose replay led to other actions or another outcome."""
+    """A line of a trace whose replay differs in actions or in the outcome."""
 
     line: int
     expected: str
@@ -102,12 +102,14 @@
 
 def encode_step(group: str, now: float, event: Event, actions: list[Action]) -> bytes:
     """Return the trace line of one step."""
-    step = TraceStep(group, now, _item(event), [_item(action) for action in actions])
+    step = TraceStep(
+        group, now, _encode_item(event), [_encode_item(action) for action in actions]
+    )
     return msgspec.json.encode(step) + b"\n"
 
 
 def replay(lines: Iterable[bytes]) -> tuple[int, list[Difference]]:
-    """Feed a trace to new monitors and compare what they do.
+    """Replay a trace with new monitors and compare their actions.
 
     Parameters
     ----------
@@ -117,12 +119,12 @@
     Returns
     -------
     tuple of int and list of Difference
-        Number of steps replayed, and where the replay differs.
+        Number of replayed steps, and the differences.
 
     Raises
     ------
     TraceError
-        If a line cannot be read.
+        If a line cannot be decoded or is out of order.
     """
     decoder = msgspec.json.Decoder(TraceLine)
     monitors: dict[str, GroupMonitor] = {}
@@ -141,17 +143,19 @@
             case TraceStep():
                 steps += 1
                 if line.group not in monitors:
-                    raise TraceError(f"line {number}: no start of {line.group!r}")
+                    raise TraceError(
+                        f"line {number}: no start line for group {line.group!r}"
+                    )
                 actual = _replay_step(monitors[line.group], line)
-                promoted[line.group] += _promoted(actual)
+                promoted[line.group] += _promoted_databases(actual)
                 if actual != line.actions:
                     expected = str(line.actions)
                     differences.append(Difference(number, expected, str(actual)))
             case TraceOutcome():
-                seen = tuple(promoted.get(line.group, ()))
-                if seen != line.promoted:
+                actual_promoted = tuple(promoted.get(line.group, ()))
+                if actual_promoted != line.promoted:
                     differences.append(
-                        Difference(number, str(line.promoted), str(seen))
+                        Difference(number, str(line.promoted), str(actual_promoted))
                     )
     return steps, differences
 
@@ -166,18 +170,18 @@
     )
 
 
-def _replay_step(monitor: GroupMonitor, step: TraceStep) -> list[Item]:
+def _replay_step(monitor: GroupMonitor, step: TraceStep) -> list[TraceItem]:
     kind = TYPE_BY_NAME.get(step.event.kind)
     if kind is None:
-        raise TraceError(f"unknown event {step.event.kind!r}")
+        raise TraceError(f"unknown event type {step.event.kind!r}")
     try:
         event = msgspec.convert(step.event.fields, kind)
     except msgspec.MsgspecError as error:
-        raise TraceError(f"{step.event.kind}: {error}") from error
-    return [_item(action) for action in monitor.step(event, step.now)]
+        raise TraceError(f"invalid {step.event.kind}: {error}") from error
+    return [_encode_item(action) for action in monitor.step(event, step.now)]
 
 
-def _promoted(actions: list[Item]) -> list[str]:
+def _promoted_databases(actions: list[TraceItem]) -> list[str]:
     return [
         action.fields["database"]
         for action in actions
@@ -185,6 +189,6 @@
     ]
 
 
-def _item(source: object) -> Item:
+def _encode_item(source: object) -> TraceItem:
     fields = msgspec.json.decode(msgspec.json.encode(source))
-    return Item(type(source).__name__, fields)
+    return TraceItem(type(source).__name__, fields)
--- a/packages/guavabarrow-core/tests/fake_group.py
+++ b/packages/guavabarrow-core/tests/fake_group.py
@@ -1,4 +1,4 @@
-"""A database group at the interface of the core, without I/O and without SQL."""
+"""In-memory databases for tests of group monitors, without I/O and without SQL."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass
 class FakeDatabase:
-    """Keeps a log of (term, row), promises terms and refuses lower ones."""
+    """Stores a log of (term, row), promises terms and rejects lower ones."""
 
     name: str
     log: list[tuple[int, str]] = field(default_factory=list)
@@ -18,7 +18,7 @@
     promised: tuple[int, str] = (0, "")
     is_primary: bool = False
     is_up: bool = True
-    heard_at: float | None = None
+    last_message_at: float | None = None
 
     @property
     def last(self) -> LogPosition:
@@ -50,7 +50,7 @@
             return False
         self.promised = (term, owner)
         self.is_primary = False
-        self.heard_at = None
+        self.last_message_at = None
         return True
 
     def promote(self, term: int, owner: str) -> bool:
@@ -67,24 +67,26 @@
         self.append(term, row)
         return self.last
 
-    def ship_to(self, peer: FakeDatabase, count: int, now: float) -> None:
+    def replicate_to(self, peer: FakeDatabase, count: int, now: float) -> None:
         if not self.is_primary or self.term < peer.promised[0]:
             return
         if self.term > peer.promised[0]:
             peer.promised = (self.term, "")
         peer.is_primary = False
-        peer.heard_at = now
+        peer.last_message_at = now
         common = min(len(self.log), len(peer.log))
         while common and self.log[common - 1] != peer.log[common - 1]:
             common -= 1
-        sent = self.log[common : common + count]
-        if sent and len(peer.log) > common:
+        entries = self.log[common : common + count]
+        if entries and len(peer.log) > common:
             peer.truncate(common)
-        for term, row in sent:
+        for term, row in entries:
             peer.append(term, row)
 
     def report(self, sent_at: float, now: float) -> DatabaseReport:
-        link_age_s = None if self.heard_at is None else now - self.heard_at
+        link_age_s = (
+            None if self.last_message_at is None else now - self.last_message_at
+        )
         return DatabaseReport(
             self.name,
             Role.PRIMARY if self.is_primary else Role.REPLICA,
@@ -98,5 +100,5 @@
 
     def restart(self) -> None:
         self.is_primary = False
-        self.heard_at = None
+        self.last_message_at = None
         self.is_up = True
--- a/packages/guavabarrow-core/tests/test_group_monitor.py
+++ b/packages/guavabarrow-core/tests/test_group_monitor.py
@@ -1,4 +1,4 @@
-"""Promotions and acknowledgements under virtual time, with seeded schedules."""
+"""Simulation of promotions and acknowledgements with virtual time and seeded faults."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 NAMES = ("x", "y", "z")
 STEP_S = 0.01
 FAILOVER_BOUND_S = 18.0
-SCHEDULES = 60
+SEED_COUNT = 60
 STEPS = 500
 
 
@@ -40,11 +40,11 @@
 
 
 class StaleRead(AssertionError):
-    """A read was older than its session or its stated age allow."""
+    """A read returned older data than its session or its maximum age allows."""
 
 
 class Simulation:
-    """Two VMs, three databases, one seeded schedule of faults."""
+    """Two VMs and three databases with one seeded schedule of faults."""
 
     def __init__(self, seed: int, monitor_type: type[GroupMonitor] = GroupMonitor):
         self.random = Random(seed)
@@ -54,8 +54,8 @@
             vm: monitor_type(NAMES, rank=rank, seed=seed + rank, now=0.0)
             for rank, vm in enumerate(("p", "q"))
         }
-        self.cut: set[frozenset[str]] = set()
-        self.mail: list[tuple[str, object]] = []
+        self.blocked_pairs: set[frozenset[str]] = set()
+        self.requests: list[tuple[str, object]] = []
         self.pending: list[tuple[str, object, str]] = []
         self.acknowledged: dict[str, tuple[object, float]] = {}
         self.rows = 0
@@ -69,73 +69,73 @@
             self.replicate()
             for vm, monitor in self.monitors.items():
                 self.probe(vm, monitor)
-                self.feed(vm, monitor, Tick())
+                self.send_event(vm, monitor, Tick())
             self.deliver()
             self.write()
             self.acknowledge()
             self.read()
 
-    def reaches(self, one: str, other: str) -> bool:
-        return frozenset((one, other)) not in self.cut
+    def can_reach(self, one: str, other: str) -> bool:
+        return frozenset((one, other)) not in self.blocked_pairs
 
     def inject_fault(self) -> None:
         if self.random.random() < 0.01:
             name = self.random.choice(NAMES)
             database = self.databases[name]
-            if database.is_up and self.up_count() > 2:
+            if database.is_up and self.count_up() > 2:
                 database.is_up = False
             else:
                 database.restart()
         if self.random.random() < 0.02:
             pair = frozenset(self.random.sample((*NAMES, *self.monitors), 2))
-            self.cut ^= {pair}
+            self.blocked_pairs ^= {pair}
         if self.random.random() < 0.02:
-            self.cut.clear()
+            self.blocked_pairs.clear()
 
-    def up_count(self) -> int:
+    def count_up(self) -> int:
         return sum(database.is_up for database in self.databases.values())
 
     def replicate(self) -> None:
         for source in self.databases.values():
             for peer in self.databases.values():
                 works = source.is_up and peer.is_up and source is not peer
-                if not works or not self.reaches(source.name, peer.name):
+                if not works or not self.can_reach(source.name, peer.name):
                     continue
                 if self.random.random() < 0.3:
-                    source.ship_to(peer, self.random.randint(0, 3), self.now)
+                    source.replicate_to(peer, self.random.randint(0, 3), self.now)
 
     def probe(self, vm: str, monitor: GroupMonitor) -> None:
         for name, database in self.databases.items():
             if self.random.random() > 0.3:
                 continue
-            if database.is_up and self.reaches(vm, name):
+            if database.is_up and self.can_reach(vm, name):
                 sent_at = self.now - self.random.random() * 0.05
                 event = ReportReceived(database.report(sent_at, self.now))
             else:
                 event = ProbeFailed(name, not database.is_up)
-            self.feed(vm, monitor, event)
+            self.send_event(vm, monitor, event)
 
-    def feed(self, vm: str, monitor: GroupMonitor, event: object) -> None:
+    def send_event(self, vm: str, monitor: GroupMonitor, event: object) -> None:
         for action in monitor.step(event, self.now):
-            self.mail.append((vm, action))
+            self.requests.append((vm, action))
 
     def deliver(self) -> None:
-        """Deliver a random part of the mail; some requests or answers get lost."""
-        mail, self.mail = self.mail, []
-        for vm, action in mail:
+        """Deliver a random part of the requests; some requests or answers get lost."""
+        requests, self.requests = self.requests, []
+        for vm, action in requests:
             if isinstance(action, PromotionEnded):
                 continue
             if self.random.random() < 0.3:
-                self.mail.append((vm, action))
+                self.requests.append((vm, action))
                 continue
             database = self.databases[action.database]
-            if not database.is_up or not self.reaches(vm, action.database):
+            if not database.is_up or not self.can_reach(vm, action.database):
                 continue
-            answer = self.handle(vm, database, action)
+            answer = self.execute(vm, database, action)
             if self.random.random() < 0.9:
-                self.feed(vm, self.monitors[vm], answer)
+                self.send_event(vm, self.monitors[vm], answer)
 
-    def handle(self, vm: str, database: FakeDatabase, action: object) -> object:
+    def execute(self, vm: str, database: FakeDatabase, action: object) -> object:
         if isinstance(action, SendFence):
             granted = database.fence(action.term, vm)
             last, promised = database.last, database.promised[0]
@@ -147,9 +147,9 @@
         return PromoteReplied(database.name, action.term, accepted)
 
     def check_promoted(self, database: FakeDatabase) -> None:
-        held = {row for _, row in database.log}
+        stored = {row for _, row in database.log}
         for row in self.acknowledged:
-            if row not in held:
+            if row not in stored:
                 raise LostWrite(f"{row} at {self.now}")
 
     def write(self) -> None:
@@ -158,7 +158,7 @@
             if primary is None or monitor.pauses_writes or self.random.random() > 0.3:
                 continue
             database = self.databases[primary.database]
-            if not database.is_up or not self.reaches(vm, database.name):
+            if not database.is_up or not self.can_reach(vm, database.name):
                 continue
             self.rows += 1
             row = f"r{self.rows}"
@@ -167,31 +167,31 @@
                 self.pending.append((vm, position, row))
 
     def acknowledge(self) -> None:
-        still = []
+        undecided = []
         for vm, position, row in self.pending:
             durability = self.monitors[vm].view.durability(position)
             if durability is Durability.DURABLE:
                 self.acknowledged[row] = (position, self.now)
             elif durability is Durability.PENDING:
-                still.append((vm, position, row))
-        self.pending = still
+                undecided.append((vm, position, row))
+        self.pending = undecided
 
     def read(self) -> None:
-        """Read with a session that wrote an acknowledged row, or with an age."""
+        """Read with the session of an acknowledged write, or with a maximum age."""
         if not self.acknowledged:
             return
         vm = self.random.choice(list(self.monitors))
         row = self.random.choice(list(self.acknowledged))
         position, acknowledged_at = self.acknowledged[row]
-        is_aged = self.random.random() < 0.5
-        age_s = self.random.choice((0.0, 0.05, 0.3, 1.0))
-        demand = ReadRequirement(
-            EMPTY if is_aged else position,
+        has_max_age = self.random.random() < 0.5
+        max_age_s = self.random.choice((0.0, 0.05, 0.3, 1.0))
+        requirement = ReadRequirement(
+            EMPTY if has_max_age else position,
             self.now,
-            max_age_s=age_s if is_aged else None,
+            max_age_s=max_age_s if has_max_age else None,
         )
         route = self.policy.route(
-            demand,
+            requirement,
             view=self.monitors[vm].view,
             leaving=frozenset(),
             load=PoolLoad(),
@@ -201,55 +201,55 @@
         if not isinstance(route, ReadFrom):
             return
         database = self.databases[route.database]
-        if not database.lineage.satisfies(demand.position):
+        if not database.lineage.satisfies(requirement.position):
             return
         self.reads += 1
-        held = {name for _, name in database.log}
-        required = not is_aged or acknowledged_at < self.now - age_s
-        if required and row not in held:
+        stored = {name for _, name in database.log}
+        required = not has_max_age or acknowledged_at < self.now - max_age_s
+        if required and row not in stored:
             raise StaleRead(f"{row} from {route.database} at {self.now}")
 
 
-@pytest.mark.parametrize("seed", range(SCHEDULES))
+@pytest.mark.parametrize("seed", range(SEED_COUNT))
 def test_seeded_schedule(seed):
     simulation = Simulation(seed)
     simulation.run()
     assert simulation.acknowledged
     assert simulation.reads
-    recover(simulation)
+    assert_recovery(simulation)
 
 
-def recover(simulation: Simulation) -> None:
-    """After the faults have ended, a write is acknowledged within the bound."""
-    simulation.cut.clear()
+def assert_recovery(simulation: Simulation) -> None:
+    """Check that a write is acknowledged within the bound after the faults end."""
+    simulation.blocked_pairs.clear()
     simulation.inject_fault = lambda: None
     for database in simulation.databases.values():
         if not database.is_up:
             database.restart()
     before = len(simulation.acknowledged)
-    give_up_at = simulation.now + FAILOVER_BOUND_S
+    deadline = simulation.now + FAILOVER_BOUND_S
     while len(simulation.acknowledged) == before:
         simulation.run(10)
-        assert simulation.now < give_up_at
+        assert simulation.now < deadline
 
 
-class AcknowledgesAtOnce(GroupMonitor):
-    """Broken: the primary alone is enough."""
+class AcknowledgesBeforeReplication(GroupMonitor):
+    """Faulty: acknowledges writes that only the primary holds."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
         self.view.durability = lambda position: Durability.DURABLE
 
 
-class PromotesAnyone(GroupMonitor):
-    """Broken: promotes without regard to the position."""
+class IgnoresLogPosition(GroupMonitor):
+    """Faulty: promotes a replica regardless of its log position."""
 
     def _most_advanced(self, attempt):
         return min(attempt.last_by_database)
 
 
-class FencesOne(GroupMonitor):
-    """Broken: takes the first promise for a majority."""
+class FencesMinority(GroupMonitor):
+    """Faulty: treats the first promise as a majority."""
 
     def _on_fence_reply(self, event, now):
         self.view.__class__ = MinorityView
@@ -260,8 +260,8 @@
     majority = 1
 
 
-class TrustsPrimaries(GroupMonitor):
-    """Broken: takes every answer of a primary for proof that it is current."""
+class SkipsFreshnessCheck(GroupMonitor):
+    """Faulty: treats any answer of a primary as proof that it is current."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -269,22 +269,22 @@
 
 
 @pytest.mark.parametrize(
-    ("broken", "failure"),
+    ("monitor_type", "failure"),
     [
-        (AcknowledgesAtOnce, LostWrite),
-        (PromotesAnyone, LostWrite),
-        (FencesOne, LostWrite),
-        (TrustsPrimaries, StaleRead),
+        (AcknowledgesBeforeReplication, LostWrite),
+        (IgnoresLogPosition, LostWrite),
+        (FencesMinority, LostWrite),
+        (SkipsFreshnessCheck, StaleRead),
     ],
 )
-def test_broken_core_is_caught(broken, failure):
+def test_simulation_detects_a_faulty_monitor(monitor_type, failure):
     with pytest.raises(failure):
-        for seed in range(SCHEDULES):
-            Simulation(seed, broken).run()
+        for seed in range(SEED_COUNT):
+            Simulation(seed, monitor_type).run()
 
 
-def test_copies_of_an_older_term_do_not_count():
-    """A later primary may still overwrite them, however many there are."""
+def test_replicas_that_end_in_an_older_term_do_not_make_an_entry_durable():
+    """A later primary may still overwrite such an entry, even on a majority."""
     x, y, z = (FakeDatabase(name) for name in NAMES)
     for database in (x, y):
         assert database.fence(1, "p")
@@ -296,7 +296,7 @@
     for database in (x, y):
         assert database.fence(3, "p")
     assert x.promote(3, "p")
-    x.ship_to(y, 2, 0.0)
+    x.replicate_to(y, 2, 0.0)
     view = GroupView(NAMES)
     for database in (x, y):
         view.record(database.report(0.0, 0.0))
@@ -305,11 +305,11 @@
     for database in (y, z):
         assert database.fence(4, "q")
     assert z.last > y.last
-    x.ship_to(y, 1, 0.0)
+    x.replicate_to(y, 1, 0.0)
     assert y.promised[0] == 4
 
 
-def test_copies_count_once_the_later_term_has_a_majority():
+def test_entry_is_durable_once_a_majority_has_the_later_term():
     x, y, z = (FakeDatabase(name) for name in NAMES)
     for database in (x, y):
         assert database.fence(1, "p")
@@ -318,7 +318,7 @@
     for database in (x, z):
         assert database.fence(2, "p")
     assert x.promote(2, "p")
-    x.ship_to(z, 3, 0.0)
+    x.replicate_to(z, 3, 0.0)
     view = GroupView(NAMES)
     for database in (x, z):
         view.record(database.report(0.0, 0.0))
@@ -326,8 +326,8 @@
     assert z.last > y.last
 
 
-def steady(monitor_type=GroupMonitor, **options):
-    """Return a simulation whose group has a primary, and no faults."""
+def simulate_until_primary(monitor_type=GroupMonitor, **options):
+    """Return a simulation without faults that has a primary, and the primary's name."""
     simulation = Simulation(1)
     simulation.monitors = {
         vm: monitor_type(NAMES, rank=rank, seed=rank, now=0.0, **options)
@@ -340,8 +340,8 @@
     return simulation, primary.database
 
 
-def gap_after(simulation, fault):
-    """Return the seconds from a fault to the next acknowledged write."""
+def measure_write_gap(simulation, fault):
+    """Return the time from a fault to the next acknowledged write, in seconds."""
     fault()
     simulation.pending.clear()
     before = len(simulation.acknowledged)
@@ -352,42 +352,42 @@
     return simulation.now - started_at
 
 
-def test_corroborated_detection_is_faster_than_waiting_for_silence():
+def test_corroborated_detection_is_faster_than_the_answer_timeout():
     gaps = {}
     for corroborate in (True, False):
-        simulation, primary = steady(corroborate=corroborate)
+        simulation, primary = simulate_until_primary(corroborate=corroborate)
 
         def kill(databases=simulation.databases, name=primary):
             databases[name].is_up = False
             for database in databases.values():
-                database.heard_at = None
+                database.last_message_at = None
 
-        gaps[corroborate] = gap_after(simulation, kill)
+        gaps[corroborate] = measure_write_gap(simulation, kill)
     assert gaps[True] < 1.0
     assert gaps[True] < gaps[False] / 2
 
 
-def test_primary_that_is_cut_off_from_its_peers_is_replaced():
-    simulation, primary = steady()
+def test_primary_that_is_isolated_from_its_replicas_is_replaced():
+    simulation, primary = simulate_until_primary()
     others = [name for name in NAMES if name != primary]
 
-    def cut():
-        simulation.cut = {frozenset((primary, other)) for other in others}
+    def isolate():
+        simulation.blocked_pairs = {frozenset((primary, other)) for other in others}
 
-    assert gap_after(simulation, cut) < FAILOVER_BOUND_S
+    assert measure_write_gap(simulation, isolate) < FAILOVER_BOUND_S
 
 
-def test_vm_that_alone_loses_the_primary_does_not_promote():
-    simulation, primary = steady()
+def test_vm_that_alone_cannot_reach_the_primary_does_not_promote():
+    simulation, primary = simulate_until_primary()
     term = simulation.databases[primary].term
-    simulation.cut = {frozenset(("p", primary))}
+    simulation.blocked_pairs = {frozenset(("p", primary))}
     simulation.run(500)
     assert simulation.databases[primary].is_primary
     assert simulation.databases[primary].term == term
 
 
 def test_slow_vm_does_not_replace_a_healthy_primary():
-    simulation, primary = steady()
+    simulation, primary = simulate_until_primary()
     term = simulation.databases[primary].term
     simulation.now += 5.0
     simulation.run(200)
@@ -395,40 +395,40 @@
 
 
 def test_flapping_links_cause_no_promotion():
-    simulation, primary = steady()
+    simulation, primary = simulate_until_primary()
     term = simulation.databases[primary].term
     pairs = {frozenset((primary, name)) for name in NAMES if name != primary}
-    for turn in range(100):
-        simulation.cut = set() if turn % 2 else pairs
+    for cycle in range(100):
+        simulation.blocked_pairs = set() if cycle % 2 else pairs
         simulation.run(10)
     assert simulation.databases[primary].term == term
 
 
 def test_each_failure_causes_one_promotion():
-    simulation, _ = steady()
+    simulation, _ = simulate_until_primary()
     failures = 0
-    started_in = max(database.term for database in simulation.databases.values())
+    first_term = max(database.term for database in simulation.databases.values())
     while failures < 10:
-        view = simulation.monitors["p"].view.primary
-        if view is not None and simulation.databases[view.database].is_up:
-            simulation.databases[view.database].is_up = False
+        primary = simulation.monitors["p"].view.primary
+        if primary is not None and simulation.databases[primary.database].is_up:
+            simulation.databases[primary.database].is_up = False
             for database in simulation.databases.values():
-                database.heard_at = None
+                database.last_message_at = None
             failures += 1
         simulation.run(150)
         for database in simulation.databases.values():
             if not database.is_up:
                 database.restart()
         simulation.run(150)
-    ended_in = max(database.term for database in simulation.databases.values())
-    assert ended_in - started_in <= 2 * failures
+    last_term = max(database.term for database in simulation.databases.values())
+    assert last_term - first_term <= 2 * failures
 
 
 def test_leaving_primary_is_handed_over_without_loss():
-    simulation, primary = steady()
+    simulation, primary = simulate_until_primary()
     leaving = frozenset({primary})
     for rank, (vm, monitor) in enumerate(simulation.monitors.items()):
-        simulation.feed(vm, monitor, MembersChanged(NAMES, leaving, rank))
+        simulation.send_event(vm, monitor, MembersChanged(NAMES, leaving, rank))
     simulation.run(400)
     current = simulation.monitors["p"].view.primary
     assert current is not None
--- a/packages/guavabarrow-core/tests/test_group_view.py
+++ b/packages/guavabarrow-core/tests/test_group_view.py
@@ -1,4 +1,4 @@
-"""What a group's reports prove about its primary."""
+"""Conclusions about a group's primary from the reports of its databases."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
     assert view.primary is None
 
 
-def test_a_primary_is_proven_only_as_of_the_answers_of_a_majority():
+def test_a_primary_is_confirmed_as_of_the_answers_of_a_majority():
     view = GroupView(MEMBERS)
     view.record(report("b", sent_at=3.0))
     view.record(report("a", role=Role.PRIMARY, sent_at=5.0))
     assert view.confirmed_at == 3.0
 
 
-def test_a_primary_alone_proves_nothing():
+def test_a_primary_is_not_confirmed_by_its_own_answer_alone():
     view = GroupView(MEMBERS)
     view.record(report("a", role=Role.PRIMARY, sent_at=5.0))
     assert view.confirmed_at == float("-inf")
--- a/packages/guavabarrow-core/tests/test_trace.py
+++ b/packages/guavabarrow-core/tests/test_trace.py
@@ -13,7 +13,7 @@
 
 
 class Recording(Simulation):
-    """A schedule whose steps are recorded."""
+    """Simulation that records a trace of its monitors."""
 
     def __init__(self, seed):
         super().__init__(seed, GroupMonitor)
@@ -23,11 +23,11 @@
         ]
         self.promoted = {vm: [] for vm in self.monitors}
 
-    def feed(self, vm, monitor, event):
+    def send_event(self, vm, monitor, event):
         actions = monitor.step(event, self.now)
         self.lines.append(encode_step(vm, self.now, event, actions))
         for action in actions:
-            self.mail.append((vm, action))
+            self.requests.append((vm, action))
             if type(action).__name__ == "PromotionEnded" and action.database:
                 self.promoted[vm].append(action.database)
 
@@ -38,7 +38,7 @@
     return recording
 
 
-def test_replay_decides_the_same():
+def test_replay_yields_the_recorded_actions():
     recording = record()
     steps, differences = replay(recording.lines)
     assert steps == len(recording.lines) - 2
@@ -46,23 +46,23 @@
     assert any(recording.promoted.values())
 
 
-def test_stated_outcome_is_judged():
+def test_expected_outcome_is_checked():
     recording = record()
     vm = next(vm for vm, names in recording.promoted.items() if names)
-    right = TraceOutcome(vm, tuple(recording.promoted[vm]))
+    correct = TraceOutcome(vm, tuple(recording.promoted[vm]))
     wrong = TraceOutcome(vm, ())
-    lines = [*recording.lines, msgspec.json.encode(right), msgspec.json.encode(wrong)]
+    lines = [*recording.lines, msgspec.json.encode(correct), msgspec.json.encode(wrong)]
     _, differences = replay(lines)
     assert [item.line for item in differences] == [len(lines)]
 
 
-def test_changed_trace_differs():
+def test_modified_trace_yields_differences():
     recording = record()
     lines = [line.replace(b'"term":1', b'"term":7') for line in recording.lines]
     assert replay(lines)[1]
 
 
 @pytest.mark.parametrize("line", [b"{", b'{"type": "step"}', b'{"type": "other"}'])
-def test_unreadable_trace_is_refused(line):
+def test_undecodable_trace_is_rejected(line):
     with pytest.raises(TraceError):
         replay([line])
