--- a/packages/guavabarrow-core/src/guavabarrow_core/primary_evidence.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/primary_evidence.py
@@ -1,8 +1,8 @@
-"""Whether a primary can no longer be used, from probes and from other VMs' word.
+"""Failure detection of a primary, from probes and from votes of other VMs.
 
-The VM that orders promotions tries the primary's address itself and hears which VMs
-can't use it. Old evidence doesn't count: a cut that has just healed must not lead to a
-promotion that rolls commits back.
+The holder of the promotion duty probes the primary's address itself, and the other VMs
+report in their heartbeats whether they can use it. Evidence expires, because a network
+partition that has just ended must not cause a promotion that rolls back commits.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from enum import Enum
 
 PROBE_VALID_S = 0.9
-"""Age up to which a probe counts; two probes at the usual pace."""
+"""Age up to which a probe's result is valid; two probes at the regular interval."""
 
 VOTE_VALID_S = 0.9
-"""Age up to which another VM's word counts; a pulse and a margin."""
+"""Age up to which another VM's vote is valid; a heartbeat interval and a margin."""
 
 VOTE_SHARE = 0.4
-"""Part of the other VMs that must fail to use a primary that can be probed."""
+"""Share of the other VMs that must be unable to use a primary that can be probed."""
 
 CONFIRM_S = 0.15
-"""Time for which the evidence must hold."""
+"""Time for which the evidence must persist before the primary counts as failed."""
 
 
 class ProbeResult(Enum):
-    """What became of a connection attempt."""
+    """Result of a connection attempt."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class PrimaryEvidence:
-    """Evidence about one primary.
+    """Probe results and votes on one primary.
 
     Examples
     --------
@@ -45,52 +45,52 @@
 
     probe: ProbeResult | None = None
     probed_at: float = float("-inf")
-    lost_since: float | None = None
+    failing_since: float | None = None
     vote_at_by_vm: dict[str, float] = field(default_factory=dict)
 
     def record_probe(self, result: ProbeResult, now: float) -> None:
-        """Take the result of a probe."""
+        """Record the result of a probe."""
         self.probe = result
         self.probed_at = now
 
     def record_vote(self, vm: str, can_use: bool, now: float) -> None:
-        """Take another VM's word."""
+        """Record whether another VM can use the primary."""
         if can_use:
             self.vote_at_by_vm.pop(vm, None)
         else:
             self.vote_at_by_vm[vm] = now
 
     def votes(self, now: float) -> int:
-        """Return how many VMs lately said that they can't use the primary."""
+        """Return how many valid votes say that the primary can't be used."""
         horizon = now - VOTE_VALID_S
         return sum(at > horizon for at in self.vote_at_by_vm.values())
 
     def is_reachable(self, now: float) -> bool:
-        """Tell whether the primary lately answered a probe."""
+        """Return whether the last probe was answered and is still valid."""
         return (
             self.probe is ProbeResult.ANSWERED and now - self.probed_at < PROBE_VALID_S
         )
 
     def is_failed(self, now: float, *, votes: int, others: int) -> bool:
-        """Tell whether the primary should be replaced.
+        """Return whether the primary has failed and should be replaced.
 
         Parameters
         ----------
         now : float
-            Local time, in s.
+            Local time in seconds.
         votes : int
-            Other VMs that can't use it.
+            Number of other VMs that can't use it.
         others : int
-            Other VMs in contact.
+            Number of other VMs that this VM is in contact with.
         """
-        if not self._speaks_against(now, votes, others):
-            self.lost_since = None
+        if not self._indicates_failure(now, votes, others):
+            self.failing_since = None
             return False
-        if self.lost_since is None:
-            self.lost_since = now
-        return now - self.lost_since >= CONFIRM_S
+        if self.failing_since is None:
+            self.failing_since = now
+        return now - self.failing_since >= CONFIRM_S
 
-    def _speaks_against(self, now: float, votes: int, others: int) -> bool:
+    def _indicates_failure(self, now: float, votes: int, others: int) -> bool:
         is_valid = now - self.probed_at < PROBE_VALID_S
         if is_valid and self.probe is ProbeResult.REFUSED:
             return True
--- a/packages/guavabarrow-core/src/guavabarrow_core/promotion.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/promotion.py
@@ -1,8 +1,9 @@
-"""Replacement of one service's primary, ordered by the VM that holds the duty.
+"""Replacement of a service's primary, run by the VM that holds the promotion duty.
 
-The order is: mark the row as moving, wait until no VM uses the old primary, compare
-the replicas, stop the old primary if it can be reached, promote, settle the row.
-Until the promotion is sent it can be taken back.
+The steps are: mark the primary row as moving, wait until no VM uses the old primary,
+compare the replicas, demote the old primary if it is reachable, promote a replica, and
+mark the row as settled. The replacement can be reverted until the promotion is
+requested.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
     from guavabarrow_core.session_messages import TargetStatus
 
 STATUS_INTERVAL_S = 0.03
-"""Pause between two looks at the replicas while a planned move waits for one."""
+"""Interval at which the replicas are polled during a replacement."""
 
 CATCH_UP_TIMEOUT_S = 1.0
-"""Longest wait of a planned move for its chosen replica."""
+"""Longest time that a planned switchover waits for the chosen replica to catch up."""
 
 PROMOTION_TIMEOUT_S = 2.0
-"""Longest wait until a promoted target says that it leads; twice the longest time
-that a deployment states for a promotion."""
+"""Longest wait until a promoted target reports that it is the primary; twice the
+longest promotion time that is specified for a deployment."""
 
 
 class PromotionStage(Enum):
-    """Where a replacement stands."""
+    """Stage of a replacement."""
 
     MARKING = auto()
     STOPPING = auto()
@@ -40,19 +41,19 @@
 
 @dataclass(frozen=True, slots=True)
 class MarkMoving:
-    """Write the row as moving, on condition that it is unchanged."""
+    """Mark the primary row as moving, provided that it is unchanged."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadStatuses:
-    """Ask targets where their logs end."""
+    """Request the role, term and log end of targets."""
 
     target_ids: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class DemotePrimary:
-    """Tell the old primary that a newer term begins."""
+    """Demote the old primary by announcing a newer term to it."""
 
     target_id: str
     term: int
@@ -60,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestPromotion:
-    """Ask the platform to let a target lead."""
+    """Request the promotion of a target from the platform."""
 
     target_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class MarkSettled:
-    """Write the row as settled."""
+    """Mark the primary row as settled."""
 
     primary_id: str
     term: int
@@ -80,22 +81,23 @@
 
 @dataclass(slots=True)
 class Promotion:
-    """State machine of one replacement.
+    """State machine that replaces the primary of one service.
 
     Parameters
     ----------
     service, old_primary_id : str
-        Service and its primary.
+        Service, and its primary before the replacement.
     term : int
         Term of the old primary.
     is_planned : bool
-        Whether the old primary still works, so that nothing may be lost.
+        Whether this is a switchover from a working primary, which must lose nothing.
     candidates : tuple of str
-        Replicas that may lead, preferred ones first.
+        Replicas that may be promoted, in order of preference.
     is_resumed : bool
-        Whether another VM began it and may have ordered a promotion.
+        Whether another VM started it and may have requested a promotion.
     is_failed_by_vote : bool
-        Whether other VMs can't use the old primary although this one may reach it.
+        Whether the primary counts as failed because enough other VMs can't use it,
+        although this VM can reach it.
     """
 
     service: str
@@ -116,31 +118,31 @@
     refused_ids: set[str] = field(default_factory=set)
 
     def start(self, now: float) -> list[PromotionAction]:
-        """Begin."""
+        """Start the replacement."""
         self.started_at = now
         return [MarkMoving()]
 
     def on_marked(self) -> None:
-        """Handle the row being marked; the VMs were told."""
+        """Handle the row being marked as moving; the VMs have been notified."""
         self.stage = PromotionStage.STOPPING
 
     def on_stopped(self, now: float) -> list[PromotionAction]:
-        """Handle that no VM uses the old primary any more."""
+        """Handle that no VM uses the old primary any longer."""
         if self.stage is not PromotionStage.STOPPING:
             return []
         self.stage = PromotionStage.COMPARING
         self.compared_at = now
-        return [ReadStatuses(self._asked())]
+        return [ReadStatuses(self._status_targets())]
 
     @property
     def can_revert(self) -> bool:
-        """Whether the old primary may go on: nothing was ordered yet."""
+        """Whether the old primary can still be kept: no promotion was requested yet."""
         nothing_requested = self.stage is PromotionStage.STOPPING
         must_replace = self.is_planned or self.is_resumed or self.is_failed_by_vote
         return nothing_requested and not must_replace
 
     def on_primary_recovered(self) -> list[PromotionAction]:
-        """Handle that the old primary can be used again; too late once promoting."""
+        """Handle that the old primary is usable again; ignored once it is too late."""
         if not self.can_revert:
             return []
         self.stage = PromotionStage.REVERTING
@@ -149,27 +151,27 @@
     def on_statuses(
         self, status_by_id: dict[str, TargetStatus], now: float
     ) -> list[PromotionAction]:
-        """Handle where the logs end; targets that didn't answer are missing."""
+        """Handle the targets' statuses; targets that did not answer are missing."""
         if self.stage is not PromotionStage.COMPARING:
             return []
         self.status_by_id.update(status_by_id)
-        leader = self._leader_elsewhere()
-        if leader is not None:
+        promoted = self._promoted_candidate()
+        if promoted is not None:
             self.stage = PromotionStage.SETTLING
-            self.chosen_id = leader
-            return [MarkSettled(leader, self.status_by_id[leader].term)]
+            self.chosen_id = promoted
+            return [MarkSettled(promoted, self.status_by_id[promoted].term)]
         old = status_by_id.get(self.old_primary_id)
         if old is not None and old.is_primary:
-            if self._may_keep(old):
+            if self._can_keep_primary(old):
                 self.stage = PromotionStage.REVERTING
                 return [MarkSettled(self.old_primary_id, self.term)]
             self.final_position = old.received
         chosen = self._most_advanced()
         waited_s = now - self.compared_at
         if chosen is None:
-            return [ReadStatuses(self._asked())]
+            return [ReadStatuses(self._status_targets())]
         if not self._is_caught_up(chosen) and waited_s < CATCH_UP_TIMEOUT_S:
-            return [ReadStatuses(self._asked())]
+            return [ReadStatuses(self._status_targets())]
         self.chosen_id = chosen
         self.stage = PromotionStage.PROMOTING
         next_term = max([self.term, *(s.term for s in self.status_by_id.values())])
@@ -179,14 +181,14 @@
         ]
 
     def on_promoted(self, term: int) -> list[PromotionAction]:
-        """Handle that the chosen target leads with ``term``."""
+        """Handle that the chosen target is the primary of ``term``."""
         if self.stage is not PromotionStage.PROMOTING:
             return []
         self.stage = PromotionStage.SETTLING
         return [MarkSettled(self.chosen_id, term)]
 
     def on_refused(self, now: float) -> list[PromotionAction]:
-        """Handle that the chosen target doesn't run; look for another one."""
+        """Handle that the chosen target is not running; select another one."""
         if self.stage is not PromotionStage.PROMOTING:
             return []
         self.refused_ids.add(self.chosen_id)
@@ -195,26 +197,27 @@
         self.status_by_id.clear()
         self.stage = PromotionStage.COMPARING
         self.compared_at = now
-        return [ReadStatuses(self._asked())]
+        return [ReadStatuses(self._status_targets())]
 
     def on_settled(self) -> None:
-        """Handle the row being settled."""
+        """Handle the row being marked as settled."""
         self.stage = PromotionStage.DONE
 
-    def _may_keep(self, old: TargetStatus) -> bool:
-        """Tell whether the old primary is back before anything was ordered.
+    def _can_keep_primary(self, old: TargetStatus) -> bool:
+        """Return whether the old primary answers before a promotion was requested.
 
-        A cut between domains that heals lets the last VMs confirm and the old primary
-        answer at the same moment; promoting then would only roll commits back.
+        When a network partition between domains ends, the last VMs confirm that they
+        stopped using the old primary at the same moment as it answers again. Promoting
+        a replica then would roll back commits needlessly.
         """
-        is_unharmed = old.term == self.term and not self.refused_ids
+        is_unchanged = old.term == self.term and not self.refused_ids
         must_replace = self.is_planned or self.is_resumed or self.is_failed_by_vote
-        return is_unharmed and not must_replace
+        return is_unchanged and not must_replace
 
-    def _asked(self) -> tuple[str, ...]:
+    def _status_targets(self) -> tuple[str, ...]:
         return (*self.candidates, self.old_primary_id)
 
-    def _leader_elsewhere(self) -> str | None:
+    def _promoted_candidate(self) -> str | None:
         for target_id in self.candidates:
             status = self.status_by_id.get(target_id)
             if status and status.is_primary and status.term > self.term:
--- a/packages/guavabarrow-core/tests/test_promotion.py
+++ b/packages/guavabarrow-core/tests/test_promotion.py
@@ -1,4 +1,4 @@
-"""Replacement of a primary, under virtual time."""
+"""Replacement of a primary, with virtual time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 PRIMARY = replace(REPLICA, is_primary=True)
 
 
-def begun(**changes) -> Promotion:
+def start_promotion(**changes) -> Promotion:
     fields = {"is_planned": False, "candidates": ("r1", "r2"), **changes}
     promotion = Promotion("orders", "p", 1, **fields)
     assert promotion.start(0.0) == [MarkMoving()]
@@ -29,94 +29,98 @@
     return promotion
 
 
-def compared(promotion: Promotion, statuses, now: float = 0.1):
+def compare_replicas(promotion: Promotion, statuses, now: float = 0.1):
     assert isinstance(promotion.on_stopped(0.0)[0], ReadStatuses)
     return promotion.on_statuses(statuses, now)
 
 
-def ahead(number: int, status: TargetStatus = REPLICA) -> TargetStatus:
-    return replace(status, received=LogPosition(1, number))
+def status_at(index: int, status: TargetStatus = REPLICA) -> TargetStatus:
+    return replace(status, received=LogPosition(1, index))
 
 
 def test_the_most_advanced_replica_is_chosen():
-    actions = compared(begun(), {"r1": ahead(9), "r2": ahead(12)})
+    actions = compare_replicas(
+        start_promotion(), {"r1": status_at(9), "r2": status_at(12)}
+    )
     assert actions == [DemotePrimary("p", 2), RequestPromotion("r2")]
 
 
-def test_nothing_is_ordered_before_all_vms_stopped():
-    promotion = begun()
+def test_no_promotion_is_requested_before_all_vms_stopped_using_the_primary():
+    promotion = start_promotion()
     assert promotion.on_statuses({"r1": REPLICA}, 0.1) == []
     assert promotion.stage is PromotionStage.STOPPING
 
 
-def test_a_planned_move_waits_for_its_replica():
-    promotion = begun(is_planned=True)
-    statuses = {"p": ahead(12, PRIMARY), "r1": ahead(9), "r2": ahead(10)}
-    assert isinstance(compared(promotion, statuses)[0], ReadStatuses)
-    statuses["r1"] = ahead(12)
+def test_a_planned_switchover_waits_for_its_replica():
+    promotion = start_promotion(is_planned=True)
+    statuses = {"p": status_at(12, PRIMARY), "r1": status_at(9), "r2": status_at(10)}
+    assert isinstance(compare_replicas(promotion, statuses)[0], ReadStatuses)
+    statuses["r1"] = status_at(12)
     actions = promotion.on_statuses(statuses, 0.2)
     assert actions[-1] == RequestPromotion("r1")
 
 
-def test_a_planned_move_does_not_wait_for_ever():
-    promotion = begun(is_planned=True)
-    statuses = {"p": ahead(12, PRIMARY), "r1": ahead(9)}
-    compared(promotion, statuses)
+def test_a_planned_switchover_does_not_wait_indefinitely():
+    promotion = start_promotion(is_planned=True)
+    statuses = {"p": status_at(12, PRIMARY), "r1": status_at(9)}
+    compare_replicas(promotion, statuses)
     actions = promotion.on_statuses(statuses, CATCH_UP_TIMEOUT_S + 0.1)
     assert actions[-1] == RequestPromotion("r1")
 
 
-def test_the_next_term_is_above_every_known_one():
-    actions = compared(begun(), {"r1": replace(REPLICA, term=7)})
+def test_the_next_term_is_above_every_reported_one():
+    actions = compare_replicas(start_promotion(), {"r1": replace(REPLICA, term=7)})
     assert actions[0] == DemotePrimary("p", 8)
 
 
-def test_a_move_is_taken_back_only_before_an_order():
-    promotion = begun()
+def test_a_replacement_is_reverted_only_before_a_request():
+    promotion = start_promotion()
     assert promotion.on_primary_recovered() == [MarkSettled("p", 1)]
-    promotion = begun()
-    compared(promotion, {"r1": REPLICA})
+    promotion = start_promotion()
+    compare_replicas(promotion, {"r1": REPLICA})
     assert promotion.on_primary_recovered() == []
 
 
-def test_a_move_that_another_vm_began_is_not_taken_back():
-    assert begun(is_resumed=True).on_primary_recovered() == []
+def test_a_resumed_replacement_is_not_reverted():
+    assert start_promotion(is_resumed=True).on_primary_recovered() == []
 
 
-def test_an_earlier_order_that_took_effect_is_adopted():
-    promotion = begun(is_resumed=True)
-    leader = TargetStatus(is_primary=True, term=2, received=LogPosition(1, 10))
-    assert compared(promotion, {"r1": leader, "r2": REPLICA}) == [MarkSettled("r1", 2)]
+def test_an_earlier_request_that_took_effect_is_adopted():
+    promotion = start_promotion(is_resumed=True)
+    promoted = TargetStatus(is_primary=True, term=2, received=LogPosition(1, 10))
+    assert compare_replicas(promotion, {"r1": promoted, "r2": REPLICA}) == [
+        MarkSettled("r1", 2)
+    ]
 
 
-def test_a_target_that_does_not_run_is_passed_over():
-    promotion = begun()
-    compared(promotion, {"r1": ahead(9), "r2": ahead(12)})
+def test_a_target_that_is_not_running_is_skipped():
+    promotion = start_promotion()
+    compare_replicas(promotion, {"r1": status_at(9), "r2": status_at(12)})
     assert isinstance(promotion.on_refused(0.2)[0], ReadStatuses)
-    actions = promotion.on_statuses({"r1": ahead(9), "r2": ahead(12)}, 0.3)
+    actions = promotion.on_statuses({"r1": status_at(9), "r2": status_at(12)}, 0.3)
     assert actions[-1] == RequestPromotion("r1")
 
 
-def test_only_a_confirmed_lead_is_settled():
-    promotion = begun()
+def test_a_row_is_settled_only_after_a_confirmed_promotion():
+    promotion = start_promotion()
     assert promotion.on_promoted(2) == []
-    compared(promotion, {"r1": REPLICA})
+    compare_replicas(promotion, {"r1": REPLICA})
     assert promotion.on_promoted(2) == [MarkSettled("r1", 2)]
 
 
-def test_a_primary_that_answers_again_before_an_order_stays():
-    """Seen when a cut healed: the last VMs confirm while the primary is back."""
-    statuses = {"p": ahead(12, PRIMARY), "r1": ahead(9)}
-    assert compared(begun(), statuses) == [MarkSettled("p", 1)]
+def test_a_primary_that_answers_again_before_a_request_is_kept():
+    """Occurs when a partition ends: the last VMs confirm while the primary answers."""
+    statuses = {"p": status_at(12, PRIMARY), "r1": status_at(9)}
+    assert compare_replicas(start_promotion(), statuses) == [MarkSettled("p", 1)]
 
 
 def test_a_primary_that_many_vms_cannot_reach_is_replaced_though_it_answers():
-    statuses = {"p": ahead(12, PRIMARY), "r1": ahead(9)}
-    actions = compared(begun(is_failed_by_vote=True), statuses)
+    statuses = {"p": status_at(12, PRIMARY), "r1": status_at(9)}
+    actions = compare_replicas(start_promotion(is_failed_by_vote=True), statuses)
     assert actions[-1] == RequestPromotion("r1")
 
 
-def test_a_primary_of_a_resumed_move_does_not_stay():
-    statuses = {"p": ahead(12, PRIMARY), "r1": ahead(9)}
-    actions = compared(begun(is_resumed=True), statuses)
+def test_a_primary_is_not_kept_by_a_resumed_replacement():
+    statuses = {"p": status_at(12, PRIMARY), "r1": status_at(9)}
+    actions = compare_replicas(start_promotion(is_resumed=True), statuses)
     assert actions[-1] == RequestPromotion("r1")
