--- a/packages/guavabarrow-core/src/guavabarrow_core/history.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/history.py
@@ -1,7 +1,8 @@
-"""Judges what callers saw against the promises of the product.
+"""Consistency checker for histories of client operations.
 
-Callers insert rows with ids of their own and read them back. The checker compares
-what each caller was told with what it and others saw, and with the final state.
+Callers insert rows with unique ids and read them back. The checker compares the
+reported outcome of each operation with the results of all reads and with the final
+state.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class Guarantee(Enum):
-    """Promise that a violation breaks."""
+    """Guarantee of the product that the checker verifies."""
 
     READ_YOUR_WRITES = "read-your-writes"
     ACKNOWLEDGED_WRITE_KEPT = "acknowledged write kept"
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken promise."""
+    """Violation of a guarantee."""
 
     guarantee: Guarantee
     detail: str
@@ -40,18 +41,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedWrite:
-    """A write as its caller saw it.
+    """A write as observed by its caller.
 
     Parameters
     ----------
     session : str
-        Session that wrote.
+        Session of the write.
     row : str
         Id of the row, unique to this write.
     sent_at, answered_at : float
         Times on the caller's monotonic clock.
     ran : ExecutionStatus
-        What the caller was told; OUTCOME_UNKNOWN if it got no answer.
+        Outcome reported to the caller; OUTCOME_UNKNOWN if no answer arrived.
     """
 
     session: str
@@ -63,20 +64,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedRead:
-    """A successful read as its caller saw it.
+    """A successful read as observed by its caller.
 
     Parameters
     ----------
     session : str
-        Session that read.
+        Session of the read.
     rows : frozenset of str
         Ids of all rows that were returned.
     sent_at, answered_at : float
         Times on the caller's monotonic clock.
     max_age_s : float or None
-        Stated age.
+        Requested maximum age of the data in seconds, None if unlimited.
     asked_nonce, answered_nonce : str
-        Value that the request sent and that its answer must return.
+        Nonce of the request, and the one in its answer; they must be equal.
     """
 
     session: str
@@ -90,7 +91,7 @@
 
 @dataclass(slots=True)
 class History:
-    """Everything that callers saw.
+    """All operations as observed by their callers.
 
     Examples
     --------
@@ -105,17 +106,17 @@
     reads: list[ObservedRead] = field(default_factory=list)
 
     def check(self, final_rows: Iterable[str]) -> list[Violation]:
-        """Return all broken promises.
+        """Return all violations of guarantees.
 
         Parameters
         ----------
         final_rows : iterable of str
-            Ids of all rows after the faults have ended, with repeats.
+            Ids of all rows after the faults have ended, including duplicates.
 
         Returns
         -------
         list of Violation
-            Empty if all promises were kept.
+            Empty if all guarantees hold.
         """
         counts = Counter(final_rows)
         return [
@@ -130,7 +131,10 @@
             count = counts[write.row]
             if write.ran is ExecutionStatus.RAN and count == 0:
                 violations.append(
-                    Violation(Guarantee.ACKNOWLEDGED_WRITE_KEPT, f"{write} is gone")
+                    Violation(
+                        Guarantee.ACKNOWLEDGED_WRITE_KEPT,
+                        f"{write} is missing from the final rows",
+                    )
                 )
             if count > 1:
                 violations.append(
@@ -166,7 +170,7 @@
             limit = read.sent_at - read.max_age_s
             for write in acknowledged:
                 if write.answered_at < limit and write.row not in read.rows:
-                    detail = f"{write.row} is missing from {read.sent_at}"
+                    detail = f"{write.row} is not in the read sent at {read.sent_at}"
                     violations.append(Violation(Guarantee.STATED_AGE, detail))
         return violations
 
@@ -174,20 +178,21 @@
 def check_rate(
     admitted: Sequence[tuple[float, float]], *, rate_per_s: float, burst: float
 ) -> list[Violation]:
-    """Find a window in which more was admitted than rate and burst allow.
+    """Find a time window with more admitted requests than rate and burst allow.
 
     Parameters
     ----------
     admitted : sequence of (float, float)
-        Times at which each admitted request was sent and answered. It was admitted
-        somewhere between, so only requests that lie inside a window are counted.
+        Times at which each admitted request was sent and answered. The admission
+        happened at some time between, so only requests that lie entirely within a
+        window are counted.
     rate_per_s, burst : float
-        Limits over the whole fleet.
+        Limits of the whole fleet, in requests per second and requests.
 
     Returns
     -------
     list of Violation
-        At most one, for the worst window.
+        At most one, for the window with the largest excess.
 
     Examples
     --------
@@ -201,11 +206,13 @@
     starts = sorted({sent for sent, _ in admitted})
     by_answer = sorted(admitted, key=lambda times: times[1])
     for start in starts:
-        inside = [answered for sent, answered in by_answer if sent >= start]
-        for end in inside[:: max(1, len(inside) // 200)] + inside[-1:]:
-            count = bisect_right(inside, end) - bisect_left(inside, start)
+        answer_times = [answered for sent, answered in by_answer if sent >= start]
+        for end in (
+            answer_times[:: max(1, len(answer_times) // 200)] + answer_times[-1:]
+        ):
+            count = bisect_right(answer_times, end) - bisect_left(answer_times, start)
             excess = count - (rate_per_s * (end - start) + burst)
             if excess > max(worst, 1e-6):
                 worst = excess
-                detail = f"{count} in {end - start:.3f} s, {excess:.1f} too many"
+                detail = f"{count} in {end - start:.3f} s, {excess:.1f} above the limit"
     return [Violation(Guarantee.RATE, detail)] if detail else []
