--- a/packages/guavabarrow-core/src/guavabarrow_core/log_position.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/log_position.py
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class LogPosition:
-    """A log entry, named by the term that wrote it and its index.
+    """Position of a log entry: the term that wrote it and its index.
 
     Parameters
     ----------
     term : int
         Term of the primary that wrote the entry.
     index : int
-        Index of the entry, counted from 1; 0 is the empty log.
+        Index of the entry, starting at 1; 0 denotes the empty log.
     """
 
     term: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TermStart:
-    """The first index that a term wrote."""
+    """First index that was written in a term."""
 
     term: int
     index: int
@@ -31,12 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Lineage:
-    """Which term wrote which part of one database's log.
+    """History of the terms that wrote one database's log.
 
     Parameters
     ----------
     starts : tuple of TermStart
-        Ascending starts of the retained terms.
+        Starts of the retained terms, in ascending order.
     last_index : int
         Index of the last entry.
 
@@ -69,7 +69,7 @@
         object.__setattr__(self, "last", last)
 
     def contains(self, position: LogPosition) -> bool:
-        """Tell whether the log holds exactly this entry.
+        """Return whether the log holds exactly this entry.
 
         Parameters
         ----------
@@ -79,7 +79,7 @@
         Returns
         -------
         bool
-            Entries older than the retained terms count as held.
+            True also for entries of terms before the retained ones.
         """
         if position.index == 0:
             return True
@@ -90,11 +90,11 @@
         return self._term_at(position.index) == position.term
 
     def satisfies(self, position: LogPosition) -> bool:
-        """Tell whether a session that has seen ``position`` may read this log.
+        """Return whether a session that has seen ``position`` may read this log.
 
         A log whose last term is newer holds every acknowledged entry of the older
-        term, because a promotion starts from a majority. What it lacks of that
-        term was never acknowledged.
+        term, because a promotion requires the logs of a majority. Entries of that
+        term that it lacks were never acknowledged.
 
         Parameters
         ----------
--- a/packages/guavabarrow-core/src/guavabarrow_core/membership.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/membership.py
@@ -1,10 +1,9 @@
 """Membership of VMs by gossiped heartbeats.
 
-Each VM advances its own counter and spreads what it has heard, as short digests of
-bounded number; the whole heartbeat of a VM is sent only to those who lack its newest
-content. A member is judged only by how long its counter has stood still while this
-VM itself was awake, so a VM that was paused does not exclude everybody else when it
-resumes.
+Each VM increments its own counter and gossips a bounded number of short digests; the
+full heartbeat of a VM is sent only to those that lack its latest content. The state of
+a member depends only on how long its counter has not advanced while this VM was
+running, so a VM that was paused does not declare all others dead when it resumes.
 """
 
 from __future__ import annotations
@@ -19,16 +18,16 @@
     from collections.abc import Iterable
 
 HEARTBEAT_S = 0.4
-SUSPECT_S = 1.6
-DEAD_S = 4.0
-FORGET_S = 600.0
+SUSPECT_AFTER_S = 1.6
+DEAD_AFTER_S = 4.0
+REMOVE_AFTER_S = 600.0
 FANOUT = 2
-PAUSE_S = 1.0
+PAUSE_THRESHOLD_S = 1.0
 MAX_DIGESTS = 24
 
 
 class MemberState(Enum):
-    """Judgement of this VM about a member."""
+    """State of a member as seen by this VM."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -36,7 +35,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """What a VM says of itself.
+    """State of a VM as published by itself.
 
     Parameters
     ----------
@@ -45,23 +44,23 @@
     domain : str
         Its failure domain.
     peer_address : str
-        Address for messages between VMs.
+        Address for messages from other VMs.
     admin_address : str
-        Address of its operator interface, ``ip:port``.
+        Address of its admin interface, ``ip:port``.
     incarnation : int
-        Start of the process, nanoseconds since 1970.
+        Start time of the process in nanoseconds since 1970.
     counter : int
-        Advances with every heartbeat.
+        Incremented with every heartbeat.
     version : int
         Configuration version in force at the VM.
     leaving : bool
-        Whether the VM takes no new work.
+        Whether the VM is draining and accepts no new work.
     ledger_epoch : int
-        Epoch of its domain's ledger lease that it knows.
+        Latest epoch of its domain's ledger lease that it has seen.
     ledger_holder : bool
-        Whether it holds that lease now.
+        Whether it currently holds that lease.
     content : int
-        Advances whenever any other field but the counter changes.
+        Incremented whenever a field other than the counter changes.
     """
 
     vm: str
@@ -83,7 +82,7 @@
 
 
 class HeartbeatDigest(msgspec.Struct, frozen=True, array_like=True):
-    """Sign of life of a VM whose heartbeat the receiver probably knows."""
+    """Short form of a heartbeat, for receivers that probably have its content."""
 
     vm: str
     incarnation: int
@@ -92,42 +91,42 @@
 
 
 class Membership:
-    """Table of the members that this VM has heard of.
+    """Table of the members, including this VM.
 
     Parameters
     ----------
     own : Heartbeat
         First heartbeat of this VM.
     seed : int
-        Seed for the choice of gossip partners.
+        Seed for the random choice of gossip partners.
     now : float
-        Monotonic time.
+        Monotonic time in seconds.
     """
 
     def __init__(self, own: Heartbeat, *, seed: int, now: float) -> None:
         self.own = own
         self.by_vm: dict[str, Heartbeat] = {own.vm: own}
         self.paused_at: float | None = None
-        self._silent_s: dict[str, float] = {own.vm: 0.0}
+        self._since_heartbeat_s: dict[str, float] = {own.vm: 0.0}
         self._random = Random(seed)
-        self._ticked_at = now
+        self._last_advance_at = now
         self._next_digest = 0
 
     def advance(self, now: float, **changes: object) -> list[HeartbeatDigest]:
-        """Advance the own heartbeat and age the others.
+        """Increment this VM's heartbeat and age the other members.
 
         Parameters
         ----------
         now : float
-            Monotonic time.
+            Monotonic time in seconds.
         **changes : object
-            Fields of the own heartbeat to change.
+            Fields of this VM's heartbeat to change.
 
         Returns
         -------
         list of HeartbeatDigest
-            Digests to send to the partners: the own one and those of up to
-            ``MAX_DIGESTS`` live members, in turn if there are more.
+            Digests to send to the partners: that of this VM and those of up to
+            ``MAX_DIGESTS`` live members, in round-robin order if there are more.
         """
         self._age(now)
         if changes:
@@ -136,56 +135,58 @@
             self.own, counter=self.own.counter + 1, **changes
         )
         self.by_vm[self.own.vm] = self.own
-        self._silent_s[self.own.vm] = 0.0
-        return [_digest(beat) for beat in (self.own, *self._next_live())]
+        self._since_heartbeat_s[self.own.vm] = 0.0
+        return [
+            _digest(heartbeat) for heartbeat in (self.own, *self._next_live_members())
+        ]
 
     def merge_digests(self, digests: Iterable[HeartbeatDigest]) -> list[str]:
-        """Take over digests that are newer than what is known.
+        """Apply digests that are newer than the stored heartbeats.
 
         Returns
         -------
         list of str
-            VMs whose whole heartbeat is needed.
+            VMs whose full heartbeat must be requested.
         """
         needed = []
         for digest in digests:
-            known = self.by_vm.get(digest.vm)
+            current = self.by_vm.get(digest.vm)
             if digest.vm == self.own.vm:
                 continue
-            if known is None or _content(digest) > _content(known):
+            if current is None or _content_version(digest) > _content_version(current):
                 needed.append(digest.vm)
-            elif (digest.incarnation, digest.counter) > known.order:
+            elif (digest.incarnation, digest.counter) > current.order:
                 self.by_vm[digest.vm] = msgspec.structs.replace(
-                    known, counter=digest.counter
+                    current, counter=digest.counter
                 )
-                self._silent_s[digest.vm] = 0.0
+                self._since_heartbeat_s[digest.vm] = 0.0
         return needed
 
     def merge(self, heartbeats: Iterable[Heartbeat]) -> None:
-        """Take over heartbeats that are newer than those known."""
-        for beat in heartbeats:
-            if beat.vm == self.own.vm:
+        """Store heartbeats that are newer than the stored ones."""
+        for heartbeat in heartbeats:
+            if heartbeat.vm == self.own.vm:
                 continue
-            known = self.by_vm.get(beat.vm)
-            if known is None or beat.order > known.order:
-                self.by_vm[beat.vm] = beat
-                self._silent_s[beat.vm] = 0.0
+            current = self.by_vm.get(heartbeat.vm)
+            if current is None or heartbeat.order > current.order:
+                self.by_vm[heartbeat.vm] = heartbeat
+                self._since_heartbeat_s[heartbeat.vm] = 0.0
 
     def state_of(self, vm: str) -> MemberState:
-        """Return this VM's judgement about ``vm``."""
-        silent_s = self._silent_s.get(vm, FORGET_S)
-        if silent_s >= DEAD_S:
+        """Return the state of ``vm``; dead if it is not in the table."""
+        elapsed_s = self._since_heartbeat_s.get(vm, REMOVE_AFTER_S)
+        if elapsed_s >= DEAD_AFTER_S:
             return MemberState.DEAD
-        if silent_s >= SUSPECT_S:
+        if elapsed_s >= SUSPECT_AFTER_S:
             return MemberState.SUSPECT
         return MemberState.ALIVE
 
     def since_heartbeat_s(self, vm: str) -> float:
-        """Return for how long ``vm`` was silent while this VM was awake, seconds."""
-        return self._silent_s.get(vm, FORGET_S)
+        """Return the running time of this VM since ``vm``'s heartbeat, in seconds."""
+        return self._since_heartbeat_s.get(vm, REMOVE_AFTER_S)
 
     def alive(self, domain: str | None = None) -> list[Heartbeat]:
-        """Return the members judged alive, this VM among them.
+        """Return the members that are alive, including this VM.
 
         Parameters
         ----------
@@ -193,52 +194,53 @@
             Restricts the result to one failure domain.
         """
         return [
-            beat
-            for vm, beat in self.by_vm.items()
-            if self.state_of(vm) is MemberState.ALIVE and domain in (None, beat.domain)
+            heartbeat
+            for vm, heartbeat in self.by_vm.items()
+            if self.state_of(vm) is MemberState.ALIVE
+            and domain in (None, heartbeat.domain)
         ]
 
     def partners(self, count: int = FANOUT) -> list[Heartbeat]:
-        """Choose partners for one round of gossip.
+        """Choose the partners of one gossip round at random.
 
         Parameters
         ----------
         count : int
-            Number of live members.
+            Number of live members to choose.
 
         Returns
         -------
         list of Heartbeat
-            Up to ``count`` live members and at most one that seems dead, so that
-            two sides of a healed partition find each other.
+            Up to ``count`` live members and at most one dead member, so that both
+            sides of a network partition find each other after it ends.
         """
         live: list[Heartbeat] = []
         dead: list[Heartbeat] = []
-        for vm, beat in self.by_vm.items():
+        for vm, heartbeat in self.by_vm.items():
             if vm == self.own.vm:
                 continue
             bucket = dead if self.state_of(vm) is MemberState.DEAD else live
-            bucket.append(beat)
+            bucket.append(heartbeat)
         chosen = self._random.sample(live, min(count, len(live)))
         if dead:
             chosen.append(self._random.choice(dead))
         return chosen
 
     def _age(self, now: float) -> None:
-        elapsed_s = now - self._ticked_at
-        self._ticked_at = now
-        if elapsed_s > PAUSE_S:
+        elapsed_s = now - self._last_advance_at
+        self._last_advance_at = now
+        if elapsed_s > PAUSE_THRESHOLD_S:
             self.paused_at = now
             elapsed_s = HEARTBEAT_S
-        for vm in self._silent_s:
-            self._silent_s[vm] += elapsed_s
-        self._forget()
+        for vm in self._since_heartbeat_s:
+            self._since_heartbeat_s[vm] += elapsed_s
+        self._remove_expired()
 
-    def _next_live(self) -> list[Heartbeat]:
+    def _next_live_members(self) -> list[Heartbeat]:
         live = [
-            beat
-            for vm, beat in self.by_vm.items()
-            if vm != self.own.vm and self._silent_s[vm] < SUSPECT_S
+            heartbeat
+            for vm, heartbeat in self.by_vm.items()
+            if vm != self.own.vm and self._since_heartbeat_s[vm] < SUSPECT_AFTER_S
         ]
         if len(live) <= MAX_DIGESTS:
             return live
@@ -246,16 +248,22 @@
         self._next_digest += MAX_DIGESTS
         return (live + live)[start : start + MAX_DIGESTS]
 
-    def _forget(self) -> None:
-        gone = [vm for vm, silent_s in self._silent_s.items() if silent_s > FORGET_S]
-        for vm in gone:
-            del self._silent_s[vm]
+    def _remove_expired(self) -> None:
+        expired = [
+            vm
+            for vm, age_s in self._since_heartbeat_s.items()
+            if age_s > REMOVE_AFTER_S
+        ]
+        for vm in expired:
+            del self._since_heartbeat_s[vm]
             del self.by_vm[vm]
 
 
-def _digest(beat: Heartbeat) -> HeartbeatDigest:
-    return HeartbeatDigest(beat.vm, beat.incarnation, beat.counter, beat.content)
+def _digest(heartbeat: Heartbeat) -> HeartbeatDigest:
+    return HeartbeatDigest(
+        heartbeat.vm, heartbeat.incarnation, heartbeat.counter, heartbeat.content
+    )
 
 
-def _content(source: Heartbeat | HeartbeatDigest) -> tuple[int, int]:
+def _content_version(source: Heartbeat | HeartbeatDigest) -> tuple[int, int]:
     return (source.incarnation, source.content)
--- a/packages/guavabarrow-core/tests/test_membership.py
+++ b/packages/guavabarrow-core/tests/test_membership.py
@@ -12,7 +12,7 @@
 
 
 class Network:
-    """Members that deliver each round's gossip at once."""
+    """In-memory network that delivers the gossip of each round immediately."""
 
     def __init__(self, count):
         self.now = 0.0
@@ -44,20 +44,20 @@
         receiver.merge([sender.own])
 
 
-def test_all_members_find_each_other():
+def test_all_members_discover_each_other():
     network = Network(9)
     network.run(10)
     for member in network.members.values():
         assert len(member.alive()) == 9
 
 
-def test_size_of_a_message_is_bounded():
+def test_number_of_digests_in_a_message_is_bounded():
     network = Network(60)
     assert network.run(30) == MAX_DIGESTS + 1
     assert all(len(member.by_vm) == 60 for member in network.members.values())
 
 
-def test_dead_member_is_noticed_and_its_successor_is_alive():
+def test_dead_member_is_detected_and_alive_again_after_a_restart():
     network = Network(5)
     network.run(10)
     network.down.add("vm-3")
@@ -73,7 +73,7 @@
     assert all(m.state_of("vm-3") is MemberState.ALIVE for m in others)
 
 
-def test_member_that_was_paused_excludes_nobody():
+def test_paused_member_declares_no_other_member_dead():
     network = Network(5)
     network.run(10)
     network.down.add("vm-2")
@@ -85,7 +85,7 @@
     assert len(paused.alive()) == 5
 
 
-def test_older_heartbeat_changes_nothing():
+def test_older_heartbeat_is_ignored():
     member = Membership(heartbeat("a"), seed=1, now=0.0)
     member.merge([heartbeat("b", incarnation=2)])
     member.merge([heartbeat("b", incarnation=1)])
