--- a/packages/guavabarrow-core/src/guavabarrow_core/peer_topology.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/peer_topology.py
@@ -1,10 +1,10 @@
-"""Which VMs keep a link to each other.
+"""Topology of the links between VMs.
 
-Pattern: with a link between any two VMs, regular messages grow with the square of the
-fleet and fill the slow links between failure domains. Here the VMs of one failure
-domain are linked to each other, and everybody is linked to a few anchors of each other
-domain and to the holder of the duty. Small fleets, whose domains hold no more VMs than
-anchors, are fully linked.
+In a full mesh, the periodic messages grow with the square of the fleet's size and
+saturate the slow network links between failure domains. Therefore the VMs of a failure
+domain form a full mesh, and every VM is also linked to a few hubs of each other domain
+and to the holder of the promotion duty. Small fleets, whose domains have no more VMs
+than hubs, form a full mesh.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
     from guavabarrow_core.fleet_state import MemberRow
 
 HUBS_PER_DOMAIN = 3
-"""Two may be lost at the same moment before other domains lose touch with one."""
+"""Two hubs of a domain can fail at once without cutting it off from other domains."""
 
 
 def hubs_by_domain(members: dict[str, MemberRow]) -> dict[str, tuple[str, ...]]:
-    """Return the VMs of each failure domain that other domains are linked to.
+    """Return the hubs of each failure domain, which VMs of other domains link to.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
     Returns
     -------
     dict of str to tuple of str
-        Names in order, without VMs that are marked as out.
+        Names in sorted order, without VMs that are marked as unavailable.
     """
     names_by_domain: dict[str, list[str]] = {}
     for vm in sorted(members):
@@ -44,7 +44,7 @@
 def peers_to_link(
     vm: str, domain: str, members: dict[str, MemberRow], holder: str
 ) -> frozenset[str]:
-    """Return the VMs that a VM keeps a link to; the relation is symmetric.
+    """Return the VMs that a VM maintains a link to; the relation is symmetric.
 
     Parameters
     ----------
--- a/packages/guavabarrow-core/src/guavabarrow_core/rendezvous.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who holds a duty, without any agreement.
+"""Rendezvous hashing: assigns a duty to a member without communication.
 
 Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
 IEEE/ACM Transactions on Networking 6(1), 1998.
@@ -15,7 +15,7 @@
 
 
 def ranked(duty: str, members: Iterable[str]) -> list[str]:
-    """Rank members for a duty, the holder first.
+    """Rank members for a duty, the preferred one first.
 
     Parameters
     ----------
@@ -27,7 +27,7 @@
     Returns
     -------
     list of str
-        All members, by descending weight.
+        All members, by descending hash weight.
 
     Examples
     --------
@@ -44,5 +44,5 @@
 
 
 def rank_of(duty: str, member: str, members: Iterable[str]) -> int:
-    """Return the rank of ``member`` for ``duty``, 0 for the holder."""
+    """Return the rank of ``member`` for ``duty``, 0 for the preferred member."""
     return ranked(duty, {*members, member}).index(member)
