--- a/packages/guavabarrow-core/src/guavabarrow_core/group_monitor.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/group_monitor.py
@@ -1,9 +1,9 @@
 """Failure detection and promotion for a database group.
 
-Nothing else starts a promotion. Safety depends on the databases alone: a database
-promises a term to one owner and rejects log entries of lower terms, so competing VMs
-cannot both promote, and a superseded primary cannot reach a majority. Timing affects
-only how long a group is without a primary.
+No other component starts promotions in a group. Safety depends on the databases alone:
+a database promises a term to one owner and rejects log entries of lower terms, so
+competing VMs cannot both promote, and a superseded primary cannot reach a majority.
+Timing affects only how long a group is without a primary.
 """
 
 from __future__ import annotations
