--- a/packages/guavabarrow-core/src/guavabarrow_core/fleet_state.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/fleet_state.py
@@ -1,10 +1,11 @@
-"""What VMs agree on through the platform's store, and the rights that follow.
-
-The shared table holds a row for each VM, one for the duty of ordering promotions, and
-one for the primary of each service. A VM may use a primary only while it is registered
-and knows the table as it was at most ``PRIMARY_LEASE_S`` ago. Whoever wants to replace
-a primary first marks its row as moving, and then waits until each registered VM has
-confirmed that it stopped or its right has lapsed.
+"""The shared table in the platform's store and the leases that it grants.
+
+The shared table has a row for each VM, one for the promotion duty (the lease of the
+one VM that may order promotions), and one for the primary of each service. A VM may
+use a primary only while it is registered and its copy of the table is less than
+``PRIMARY_LEASE_S`` old. To replace a primary, the duty holder marks its row as moving
+and then waits until each registered VM has confirmed that it stopped using the primary
+or its lease has expired.
 """
 
 from __future__ import annotations
@@ -13,12 +14,13 @@
 from enum import Enum
 
 PRIMARY_LEASE_S = 6.0
-"""Bridges outages of the store of a few seconds; also the longest wait for a VM that
-can't be reached before a primary is replaced."""
+"""Long enough to survive store outages of a few seconds; also the longest wait for an
+unreachable VM before a primary is replaced."""
 
 DUTY_LEASE_S = 1.6
-"""How long the duty outlives the last answer of the store; two looks of the holder and
-a slow answer. A successor waits as long before it acts."""
+"""How long the promotion duty stays valid after the last answer of the store: two polls
+of the holder and one slow answer. A successor waits as long before it orders
+promotions."""
 
 
 class PrimaryPhase(Enum):
@@ -35,13 +37,13 @@
     Parameters
     ----------
     vm, domain : str
-        Its name and failure domain.
+        Name and failure domain.
     host, port : str, int
         Address for messages between VMs.
     incarnation : str
-        Differs in each lifetime of the process.
+        Id of the process incarnation, new at each start.
     is_out : bool
-        Whether it was silent for so long that others no longer count on it.
+        Whether it was marked unavailable after a long time without contact.
     """
 
     vm: str
@@ -59,15 +61,15 @@
     Parameters
     ----------
     service : str
-        Its name.
+        Name of the service.
     phase : PrimaryPhase
         Whether the primary may be used.
     primary_id : str
-        Target that leads, or led until the move began.
+        Current primary; while the row is moving, the one being replaced.
     term : int
-        Its term.
+        Term of that primary.
     is_planned : bool
-        Whether running work may end before the move.
+        Whether running work may finish before the replacement.
     """
 
     service: str
@@ -79,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyRow:
-    """Who orders promotions."""
+    """Holder of the promotion duty."""
 
     holder: str
     incarnation: str
@@ -90,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionedRow:
-    """A row with the store's version; ``row`` is None if it was dropped."""
+    """A row with its version in the store; ``row`` is None if it was deleted."""
 
     key: str
     version: int
@@ -112,21 +114,25 @@
 
 @dataclass(slots=True)
 class FleetState:
-    """The shared table as this VM knows it.
+    """This VM's copy of the shared table.
 
     Parameters
     ----------
     vm, incarnation : str
-        This VM and its lifetime.
+        Name of this VM and id of its process incarnation.
 
     Attributes
     ----------
     version : int
-        Version up to which the table is known in full, 0 if it was never read.
+        Version up to which the copy is complete, 0 if the table was never read.
     rows_version : int
-        Version of the newest row up to which all rows are known.
+        Version of the newest row up to which no row is missing from the copy.
     as_of : float
-        Local time not after the moment at which the table was as known.
+        Local time, in s, not later than the moment at which the table had this content.
+    row_by_key : dict of str to VersionedRow
+        Newest version of each row, including deleted ones.
+    out_since : dict of str to float
+        Local time, in s, at which this VM first saw another VM marked unavailable.
     """
 
     vm: str
@@ -146,20 +152,20 @@
         now: float,
         is_full: bool = False,
     ) -> list[VersionedRow]:
-        """Take the table, or all of its changes since the known version.
+        """Apply the whole table, or all of its changes since the cached version.
 
         Parameters
         ----------
         rows : list of VersionedRow
-            Rows.
+            All rows, or those that changed.
         version : int
             Version of the whole table.
         as_of : float
-            Local time not after the moment of the version, in s.
+            Local time, in s, not later than the moment of that version.
         now : float
             Local time, in s.
         is_full : bool
-            Whether rows that are missing do not exist.
+            Whether ``rows`` is the whole table, so that missing rows are deleted.
 
         Returns
         -------
@@ -171,9 +177,9 @@
             keys = {row.key for row in rows}
             for key, known in list(self.row_by_key.items()):
                 if key not in keys and known.version <= version and known.row:
-                    gone = VersionedRow(key, version, None)
-                    self.row_by_key[key] = gone
-                    changed.append(gone)
+                    deleted = VersionedRow(key, version, None)
+                    self.row_by_key[key] = deleted
+                    changed.append(deleted)
         self.version = max(self.version, version)
         newest = (known.version for known in self.row_by_key.values())
         complete = [number for number in newest if number <= self.version]
@@ -182,7 +188,7 @@
         return changed
 
     def merge(self, rows: list[VersionedRow], now: float) -> list[VersionedRow]:
-        """Take single rows that are newer than the known ones."""
+        """Apply single rows that are newer than the cached ones."""
         changed = []
         for row in rows:
             known = self.row_by_key.get(row.key)
@@ -191,11 +197,11 @@
             self.row_by_key[row.key] = row
             changed.append(row)
             if isinstance(row.row, MemberRow):
-                self._note_member(row.row, now)
+                self._record_availability(row.row, now)
         return changed
 
     def member_by_vm(self) -> dict[str, MemberRow]:
-        """Return all registered VMs."""
+        """Return the rows of all registered VMs, keyed by VM."""
         return {
             known.row.vm: known.row
             for known in self.row_by_key.values()
@@ -203,14 +209,14 @@
         }
 
     def observer(self, domain: str, contacts: frozenset[str]) -> str:
-        """Return the VM of a failure domain that follows the store for the others.
+        """Return the VM of a failure domain that polls the store for the others.
 
         Parameters
         ----------
         domain : str
             This VM's failure domain.
         contacts : frozenset of str
-            VMs that were heard lately.
+            VMs that were recently in contact with this one.
         """
         candidates = [
             member.vm
@@ -220,7 +226,7 @@
         return min([*candidates, self.vm])
 
     def primary_row(self, service: str) -> PrimaryRow | None:
-        """Return the row of a service's primary."""
+        """Return the row of a service's primary, None if there is none."""
         known = self.row_by_key.get(primary_row_key(service))
         return known.row if known and isinstance(known.row, PrimaryRow) else None
 
@@ -230,26 +236,26 @@
         return known.version if known is not None and known.row is not None else 0
 
     def duty(self) -> DutyRow | None:
-        """Return who orders promotions."""
+        """Return the row of the promotion duty, None if there is none."""
         known = self.row_by_key.get(DUTY_KEY)
         return known.row if known and isinstance(known.row, DutyRow) else None
 
     def is_registered(self) -> bool:
-        """Tell whether this lifetime of this VM is registered and counted on."""
+        """Return whether this incarnation is registered and not marked unavailable."""
         own = self.member_by_vm().get(self.vm)
         return (
             own is not None and own.incarnation == self.incarnation and not own.is_out
         )
 
     def may_use_primary(self, service: str, now: float) -> bool:
-        """Tell whether statements may go to the service's primary.
+        """Return whether statements may be sent to the service's primary.
 
         Parameters
         ----------
         service : str
-            Its name.
+            Name of the service.
         now : float
-            Local time on a clock that counts suspension, in s.
+            Local time, in s, on a clock that advances while the machine is suspended.
         """
         row = self.primary_row(service)
         if row is None or row.phase is not PrimaryPhase.SETTLED:
@@ -257,7 +263,7 @@
         return self.is_registered() and now < self.as_of + PRIMARY_LEASE_S
 
     def holds_duty(self, now: float) -> bool:
-        """Tell whether this VM may order promotions."""
+        """Return whether this VM may order promotions."""
         duty = self.duty()
         if duty is None or duty.holder != self.vm:
             return False
@@ -268,23 +274,23 @@
     def lease_has_expired(
         self, member: MemberRow, marked_at: float, now: float
     ) -> bool:
-        """Tell whether a VM's right to use a primary has surely ended.
+        """Return whether a VM's lease on a primary has certainly expired.
 
         Parameters
         ----------
         member : MemberRow
-            The VM.
+            Row of the VM.
         marked_at : float
-            Local time not before the moment at which the primary's row was marked.
+            Local time, in s, not earlier than the marking of the primary's row.
         now : float
-            Local time.
+            Local time, in s.
         """
         since = marked_at
         if member.is_out:
             since = min(since, self.out_since.get(member.vm, marked_at))
         return now >= since + PRIMARY_LEASE_S
 
-    def _note_member(self, member: MemberRow, now: float) -> None:
+    def _record_availability(self, member: MemberRow, now: float) -> None:
         if member.is_out:
             self.out_since.setdefault(member.vm, now)
         else:
