--- a/packages/guavabarrow-core/src/guavabarrow_core/fleet.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/fleet.py
@@ -1,4 +1,4 @@
-"""The configuration of the whole fleet: services, databases, templates and teams."""
+"""Configuration of the fleet: services, databases, templates and teams."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class DomainState(Enum):
-    """Whether a failure domain takes work."""
+    """Whether a failure domain accepts work."""
 
     IN_SERVICE = "in"
     OUT_OF_SERVICE = "out"
 
 
 class TargetState(Enum):
-    """Whether a database takes work."""
+    """Whether a database accepts work."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class FailureDomain:
-    """A set of VMs and targets that fails as one."""
+    """A set of VMs and targets that fail together."""
 
     name: str
     region: str = ""
@@ -45,7 +45,7 @@
     name : str
         Name, unique in the fleet.
     domain : str
-        Failure domain in which it stands.
+        Failure domain that it belongs to.
     host : str
         IP address.
     port : int
@@ -74,7 +74,7 @@
     connections : int
         Client connections that each database accepts over the whole fleet.
     slots : int
-        Statements that each database runs at once.
+        Statements that each database runs concurrently.
     """
 
     name: str
@@ -94,11 +94,12 @@
     rate_per_s : float
         Statements per second over the whole fleet.
     burst : float
-        Statements that may come at once over the whole fleet.
+        Statements that may arrive at once over the whole fleet.
     weight : float
-        Share in front of a busy database.
+        Relative share of a busy database.
     read_max_age_ms : float or None
-        Age that reads tolerate which state none; None means no stated age.
+        Maximum age of the data, in ms, for reads that state none; None if there is
+        no default.
     """
 
     name: str
@@ -119,9 +120,9 @@
     template : str
         Template that supplies the parameters not set here.
     services : tuple of str
-        Services that the team reaches.
+        Services that the team may use.
     key_hash_by_id : dict of str to str
-        Hexadecimal SHA-256 of each key in force, keyed by key id.
+        Hexadecimal SHA-256 of each valid key, keyed by key id.
     rate_per_s, burst, weight, read_max_age_ms : float or None
         Overrides of the template.
     """
@@ -138,7 +139,7 @@
 
 @dataclass(frozen=True)
 class OpenRoute:
-    """A read that needs no key.
+    """A read-only route that needs no API key.
 
     Parameters
     ----------
@@ -157,7 +158,7 @@
 
 @dataclass(frozen=True)
 class TeamLimits:
-    """Parameters of a team after its template was applied."""
+    """Effective parameters of a team: its overrides and its template's values."""
 
     rate_per_s: float
     burst: float
@@ -172,9 +173,9 @@
     Parameters
     ----------
     version : int
-        Position in the chain, 0 is the empty fleet.
+        Position in the configuration chain; 0 is the empty fleet.
     domains, services, templates, teams, open_routes : dict
-        Parts, keyed by their names.
+        Entries, keyed by name.
     """
 
     version: int = 0
@@ -185,26 +186,26 @@
     open_routes: dict[str, OpenRoute] = field(default_factory=dict)
 
     def limits_of(self, team: str) -> TeamLimits:
-        """Return the parameters in force for ``team``."""
+        """Return the effective parameters of ``team``."""
         entry = self.teams[team]
         template = self.templates[entry.template]
         age_ms = entry.read_max_age_ms
         if age_ms is None:
             age_ms = template.read_max_age_ms
         return TeamLimits(
-            rate_per_s=_either(entry.rate_per_s, template.rate_per_s),
-            burst=_either(entry.burst, template.burst),
-            weight=_either(entry.weight, template.weight),
+            rate_per_s=_value_or_default(entry.rate_per_s, template.rate_per_s),
+            burst=_value_or_default(entry.burst, template.burst),
+            weight=_value_or_default(entry.weight, template.weight),
             read_max_age_s=None if age_ms is None else age_ms / 1000,
         )
 
     def is_out(self, domain: str) -> bool:
-        """Tell whether operators have taken ``domain`` out of service."""
+        """Return whether operators took ``domain`` out of service."""
         entry = self.domains.get(domain)
         return entry is not None and entry.state is DomainState.OUT_OF_SERVICE
 
     def leaving_targets(self, service: str) -> frozenset[str]:
-        """Return the targets of ``service`` that must get no new work."""
+        """Return the targets of ``service`` that must not get new work."""
         return frozenset(
             target.name
             for target in self.services[service].targets
@@ -212,47 +213,47 @@
         )
 
     def check(self) -> None:
-        """Verify references between the parts.
+        """Verify that all references between entries resolve.
 
         Raises
         ------
         ConfigurationError
-            Lists every mistake.
+            If some do not; the message lists all of them.
         """
-        mistakes = self._mistakes()
-        if mistakes:
-            raise ConfigurationError("; ".join(mistakes))
+        errors = self._reference_errors()
+        if errors:
+            raise ConfigurationError("; ".join(errors))
 
-    def _mistakes(self) -> list[str]:
-        mistakes = []
+    def _reference_errors(self) -> list[str]:
+        errors = []
         for team in self.teams.values():
             if team.template not in self.templates:
-                mistakes.append(
+                errors.append(
                     f"team {team.name}: template {team.template!r} does not exist"
                 )
             for service in team.services:
                 if service not in self.services:
-                    mistakes.append(
+                    errors.append(
                         f"team {team.name}: service {service!r} does not exist"
                     )
         for entry in self.services.values():
             for target in entry.targets:
                 if target.domain not in self.domains:
-                    mistakes.append(
+                    errors.append(
                         f"target {target.name}: domain {target.domain!r} does not exist"
                     )
         for route in self.open_routes.values():
             if route.service not in self.services:
-                mistakes.append(
+                errors.append(
                     f"open route {route.name}: service {route.service!r} does not exist"
                 )
-        return mistakes
+        return errors
 
 
 def hash_key(key: str) -> str:
     """Return the stored form of a key.
 
-    Keys hold 192 random bits, so a plain hash cannot be searched.
+    Keys have 192 random bits, so an unsalted fast hash cannot be brute-forced.
     """
     return sha256(key.encode()).hexdigest()
 
@@ -268,7 +269,7 @@
     Raises
     ------
     ConfigurationError
-        If the document does not have the form of a fleet.
+        If the document is not a valid configuration.
     """
     try:
         fleet = msgspec.json.decode(document, type=Fleet)
@@ -278,5 +279,5 @@
     return fleet
 
 
-def _either(override: float | None, default: float) -> float:
-    return default if override is None else override
+def _value_or_default(value: float | None, default: float) -> float:
+    return default if value is None else value
--- a/packages/guavabarrow-core/src/guavabarrow_core/fleet_change.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/fleet_change.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration, as operators state them."""
+"""Configuration changes that operators submit."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     Template,
 )
 
-Part = TypeVar("Part")
-Named = TypeVar("Named", Template, Team, Service, FailureDomain, OpenRoute)
+Entry = TypeVar("Entry")
+NamedEntry = TypeVar("NamedEntry", Template, Team, Service, FailureDomain, OpenRoute)
 
 
 class PutTemplate(msgspec.Struct, tag=True, frozen=True):
@@ -31,7 +31,7 @@
 
 
 class PutTeam(msgspec.Struct, tag=True, frozen=True):
-    """Create or replace a team; its keys are kept."""
+    """Create or replace a team; it keeps its keys unless the new entry has some."""
 
     team: Team
 
@@ -55,7 +55,7 @@
 
 
 class SetDomainState(msgspec.Struct, tag=True, frozen=True):
-    """Take a failure domain out of service or back."""
+    """Take a failure domain out of service or return it to service."""
 
     domain: str
     state: DomainState
@@ -70,7 +70,7 @@
 
 
 class GiveKey(msgspec.Struct, tag=True, frozen=True):
-    """Give a team a further key."""
+    """Add a key to a team."""
 
     team: str
     key_id: str
@@ -78,7 +78,7 @@
 
 
 class WithdrawKey(msgspec.Struct, tag=True, frozen=True):
-    """Withdraw a key of a team."""
+    """Revoke a key of a team."""
 
     team: str
     key_id: str
@@ -105,18 +105,19 @@
 
 
 class Revision(msgspec.Struct, frozen=True):
-    """One link of the configuration chain.
+    """One revision in the configuration chain.
 
     Parameters
     ----------
     version : int
-        Version that the change produces.
+        Version that the revision produces.
     operation_id : str
-        Identifies the operator's request, so that a lost answer can be resolved.
+        Identifies the operator's request, so that its outcome can be looked up if the
+        response was lost.
     author : str
         Who made the change.
     changes : tuple of Change
-        Applied in order, all or none.
+        Changes, applied in order and atomically.
     """
 
     version: int
@@ -131,19 +132,19 @@
     Parameters
     ----------
     fleet : Fleet
-        Version before.
+        Configuration before the revision.
     revision : Revision
-        Link whose version follows.
+        Revision with the next version.
 
     Returns
     -------
     Fleet
-        Version after.
+        Configuration after the revision.
 
     Raises
     ------
     ConfigurationError
-        If versions do not follow or the result is not valid.
+        If the versions are not consecutive or the result is not valid.
     """
     if revision.version != fleet.version + 1:
         raise ConfigurationError(
@@ -160,37 +161,39 @@
     """Return the configuration after one change, with the version unchanged."""
     match change:
         case PutTemplate(template):
-            return replace(fleet, templates=_put(fleet.templates, template))
+            return replace(fleet, templates=_with_entry(fleet.templates, template))
         case PutTeam(team):
-            return replace(fleet, teams=_put(fleet.teams, _keep_keys(fleet, team)))
+            return replace(
+                fleet, teams=_with_entry(fleet.teams, _with_existing_keys(fleet, team))
+            )
         case PutService(service):
-            return replace(fleet, services=_put(fleet.services, service))
+            return replace(fleet, services=_with_entry(fleet.services, service))
         case PutDomain(domain):
-            return replace(fleet, domains=_put(fleet.domains, domain))
+            return replace(fleet, domains=_with_entry(fleet.domains, domain))
         case PutOpenRoute(route):
-            return replace(fleet, open_routes=_put(fleet.open_routes, route))
+            return replace(fleet, open_routes=_with_entry(fleet.open_routes, route))
         case SetDomainState(name, state):
-            domain = _find(fleet.domains, name, "failure domain")
+            domain = _get_entry(fleet.domains, name, "failure domain")
             return replace(
-                fleet, domains=_put(fleet.domains, replace(domain, state=state))
+                fleet, domains=_with_entry(fleet.domains, replace(domain, state=state))
             )
         case SetTargetState():
             return _set_target_state(fleet, change)
         case GiveKey(team_name, key_id, key_hash):
-            team = _find(fleet.teams, team_name, "team")
+            team = _get_entry(fleet.teams, team_name, "team")
             hashes = {**team.key_hash_by_id, key_id: key_hash}
-            return _with_keys(fleet, team, hashes)
+            return _replace_keys(fleet, team, hashes)
         case WithdrawKey(team_name, key_id):
-            team = _find(fleet.teams, team_name, "team")
-            _find(team.key_hash_by_id, key_id, "key")
+            team = _get_entry(fleet.teams, team_name, "team")
+            _get_entry(team.key_hash_by_id, key_id, "key")
             hashes = {
                 name: value
                 for name, value in team.key_hash_by_id.items()
                 if name != key_id
             }
-            return _with_keys(fleet, team, hashes)
+            return _replace_keys(fleet, team, hashes)
         case RemoveTeam(team_name):
-            _find(fleet.teams, team_name, "team")
+            _get_entry(fleet.teams, team_name, "team")
             teams = {
                 name: team for name, team in fleet.teams.items() if name != team_name
             }
@@ -199,31 +202,35 @@
 
 
 def _set_target_state(fleet: Fleet, change: SetTargetState) -> Fleet:
-    service = _find(fleet.services, change.service, "service")
+    service = _get_entry(fleet.services, change.service, "service")
     by_name: dict[str, Target] = {target.name: target for target in service.targets}
-    target = _find(by_name, change.target, "target")
+    target = _get_entry(by_name, change.target, "target")
     by_name[change.target] = replace(target, state=change.state)
     updated = replace(service, targets=tuple(by_name.values()))
-    return replace(fleet, services=_put(fleet.services, updated))
+    return replace(fleet, services=_with_entry(fleet.services, updated))
 
 
-def _with_keys(fleet: Fleet, team: Team, hashes: dict[str, str]) -> Fleet:
-    return replace(fleet, teams=_put(fleet.teams, replace(team, key_hash_by_id=hashes)))
+def _replace_keys(fleet: Fleet, team: Team, hashes: dict[str, str]) -> Fleet:
+    return replace(
+        fleet, teams=_with_entry(fleet.teams, replace(team, key_hash_by_id=hashes))
+    )
 
 
-def _keep_keys(fleet: Fleet, team: Team) -> Team:
-    known = fleet.teams.get(team.name)
-    if known is None or team.key_hash_by_id:
+def _with_existing_keys(fleet: Fleet, team: Team) -> Team:
+    existing = fleet.teams.get(team.name)
+    if existing is None or team.key_hash_by_id:
         return team
-    return replace(team, key_hash_by_id=known.key_hash_by_id)
+    return replace(team, key_hash_by_id=existing.key_hash_by_id)
 
 
-def _put(parts: dict[str, Named], part: Named) -> dict[str, Named]:
-    return {**parts, part.name: part}
+def _with_entry(
+    entries: dict[str, NamedEntry], entry: NamedEntry
+) -> dict[str, NamedEntry]:
+    return {**entries, entry.name: entry}
 
 
-def _find(parts: dict[str, Part], name: str, kind: str) -> Part:
-    if name not in parts:
-        known = ", ".join(sorted(parts)) or "none"
+def _get_entry(entries: dict[str, Entry], name: str, kind: str) -> Entry:
+    if name not in entries:
+        known = ", ".join(sorted(entries)) or "none"
         raise ConfigurationError(f"No {kind} is named {name!r}; known: {known}.")
-    return parts[name]
+    return entries[name]
