--- a/packages/guavabarrow-core/src/guavabarrow_core/configuration_chain.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/configuration_chain.py
@@ -1,4 +1,4 @@
-"""The chain of configuration versions: held by VMs, extended by operators."""
+"""The chain of configuration revisions: copies on VMs, and changes by operators."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
 
 
 class ConfigurationChain:
-    """Applies revisions in order and never goes back.
+    """Copy of the configuration, to which revisions are applied in order.
+
+    The version never decreases.
 
     Examples
     --------
@@ -35,11 +37,11 @@
 
     @property
     def version(self) -> int:
-        """Version in force at this VM, 0 while it has none."""
+        """Version in effect on this VM, 0 if it has none."""
         return self.fleet.version
 
     def install_snapshot(self, fleet: Fleet) -> bool:
-        """Replace the configuration by a newer snapshot.
+        """Replace the configuration with a newer snapshot.
 
         Parameters
         ----------
@@ -49,7 +51,7 @@
         Returns
         -------
         bool
-            False if it is not newer than the version in force.
+            False if it is not newer than the version in effect.
         """
         if fleet.version <= self.version:
             return False
@@ -58,12 +60,12 @@
         return True
 
     def extend(self, revisions: Iterable[Revision]) -> int:
-        """Apply the revisions that follow the version in force.
+        """Apply the revisions that follow the version in effect.
 
         Parameters
         ----------
         revisions : iterable of Revision
-            May overlap with what is known; a gap ends the run.
+            May include revisions already applied; those after a gap are ignored.
 
         Returns
         -------
@@ -106,35 +108,35 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRevision:
-    """Append ``revision`` on condition that the head is the version before it."""
+    """Append ``revision`` if the head is still the version before it."""
 
     revision: Revision
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The change is in the chain at ``version``."""
+    """The change was committed as ``version``."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChainRead:
-    """Answer to :class:`ReadChain`: revisions in order up to the head."""
+    """Response to :class:`ReadChain`: revisions in order up to the head."""
 
     revisions: tuple[Revision, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class WriteAnswered:
-    """Answer to :class:`WriteRevision`; a refused one found another head."""
+    """Response to :class:`WriteRevision`; not written if the head had changed."""
 
     written: bool
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerLost:
-    """The store did not answer; the write may have taken effect."""
+    """The store did not respond; a write may have taken effect."""
 
 
 OperationEvent = ChainRead | WriteAnswered | AnswerLost
@@ -142,18 +144,18 @@
 
 
 class ChangeOperation:
-    """One operator's change, resolved through lost answers and races.
+    """One operator's change, carried through lost responses and concurrent changes.
 
     Parameters
     ----------
     base : Fleet
-        Version on which the operator decided.
+        Configuration that the change is based on.
     changes : tuple of Change
-        Applied all or none.
+        Changes, applied atomically.
     operation_id : str
         Unique id of this request.
     author : str
-        Who makes the change.
+        Who made the change.
     """
 
     def __init__(
@@ -174,12 +176,12 @@
         return ReadChain(self._base.version)
 
     def step(self, event: OperationEvent) -> OperationAction:
-        """Take the answer to the last action.
+        """Process the response to the last action.
 
         Parameters
         ----------
         event : OperationEvent
-            What the store answered.
+            Response of the store.
 
         Returns
         -------
@@ -189,14 +191,14 @@
         Raises
         ------
         ConfigurationConflict
-            If another change took the version.
+            If another change was committed first.
         ConfigurationError
-            If the store does not answer; the change may be in the chain, and the
-            same operation id tells.
+            If the store does not respond. The change may have been committed;
+            repeating it with the same operation id resolves the outcome.
         """
         match event:
             case ChainRead(revisions):
-                return self._on_chain(revisions)
+                return self._handle_revisions(revisions)
             case WriteAnswered(written):
                 if written:
                     return Accepted(self.revision.version)
@@ -204,7 +206,7 @@
             case AnswerLost():
                 return self._retry()
 
-    def _on_chain(self, revisions: tuple[Revision, ...]) -> OperationAction:
+    def _handle_revisions(self, revisions: tuple[Revision, ...]) -> OperationAction:
         for revision in revisions:
             if revision.operation_id == self.revision.operation_id:
                 return Accepted(revision.version)
--- a/packages/guavabarrow-core/tests/test_configuration_chain.py
+++ b/packages/guavabarrow-core/tests/test_configuration_chain.py
@@ -20,8 +20,8 @@
     return Revision(version, f"op-{version}", "a", (PutTemplate(Template(name)),))
 
 
-class Store:
-    """The chain in the table service; answers get lost at random."""
+class FakeStore:
+    """Fake of the table service; loses responses at random."""
 
     def __init__(self, seed):
         self.random = Random(seed)
@@ -41,9 +41,9 @@
 
 
 @pytest.mark.parametrize("seed", range(50))
-def test_racing_operators_lose_nothing(seed):
-    """Each change is in the chain exactly once, or was refused and is not."""
-    store = Store(seed)
+def test_concurrent_changes_are_committed_exactly_once_or_rejected(seed):
+    """Each accepted change is in the chain exactly once, a rejected one never."""
+    store = FakeStore(seed)
     running = {
         name: (operation, operation.start())
         for name in ("amina", "baraka", "chausiku")
@@ -78,7 +78,7 @@
             assert name not in ids
 
 
-def test_revisions_apply_in_order_and_never_back():
+def test_revisions_apply_in_order_and_the_version_never_decreases():
     chain = ConfigurationChain()
     assert chain.extend([revision(2), revision(1)]) == 2
     assert chain.extend([revision(4)]) == 0
@@ -96,6 +96,6 @@
     assert chain.revisions_after(8) == []
 
 
-def test_invalid_change_is_refused_before_it_is_written():
+def test_invalid_change_is_rejected_before_it_is_written():
     with pytest.raises(ConfigurationError):
         ChangeOperation(Fleet(), (object(),), operation_id="o", author="a")  # type: ignore[arg-type]
