--- a/packages/guavabarrow-core/src/guavabarrow_core/freshness.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/freshness.py
@@ -1,9 +1,9 @@
-"""Which log position a read needs, from what was seen of the primary.
+"""Log position that a bounded-staleness read needs, from observations of the primary.
 
-An observation says that the primary's log ended at a position in an answer to a
-statement sent at a time. Every commit acknowledged before that time is at or before
-the position. A read that may lack what was acknowledged in the last seconds therefore
-needs the position of any observation not older than that.
+An observation records where the primary's log ended according to its response to a
+statement, and when that statement was sent. Every commit acknowledged before that time
+is at or before the position. A read that may miss the commits of the last seconds
+therefore needs the position of any observation that is not older than that.
 """
 
 from __future__ import annotations
@@ -16,25 +16,26 @@
     from guavabarrow_core.log_position import LogPosition
 
 RETENTION_S = 6.0
-"""Longer than any stated age in use; older observations are dropped."""
+"""Longer than any maximum age in use; older observations are dropped."""
 
 MIN_SPACING_S = 0.02
-"""Observations closer together than this add nothing to the choice."""
+"""Observations closer together than this are skipped; they add no precision."""
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """End of the primary's log, seen in an answer.
+    """End of the primary's log, as reported in a response.
 
     Parameters
     ----------
-    asked_at : float
-        Time at which the statement was sent, in s on the suspension-aware clock.
+    sent_at : float
+        Time at which the statement was sent, in s, on a clock that advances while the
+        machine is suspended.
     position : LogPosition
-        End of the primary's log when it answered.
+        End of the primary's log when it responded.
     """
 
-    asked_at: float
+    sent_at: float
     position: LogPosition
 
 
@@ -59,34 +60,34 @@
         self._observations: deque[Observation] = deque()
 
     def record(self, observation: Observation) -> None:
-        """Add an observation; one that is older than the newest is ignored."""
+        """Add an observation, unless it is older than the newest or too close to it."""
         if self._observations:
             newest = self._observations[-1]
-            if observation.asked_at < newest.asked_at + MIN_SPACING_S:
+            if observation.sent_at < newest.sent_at + MIN_SPACING_S:
                 return
         self._observations.append(observation)
-        horizon = observation.asked_at - RETENTION_S
-        while self._observations[0].asked_at < horizon:
+        horizon = observation.sent_at - RETENTION_S
+        while self._observations[0].sent_at < horizon:
             self._observations.popleft()
 
     def required_position(self, *, now: float, max_age_s: float) -> LogPosition | None:
-        """Return the lowest position that a read started at ``now`` may have.
+        """Return the log position that a read started at ``now`` must have reached.
 
         Parameters
         ----------
         now : float
-            Time of the read's first byte.
+            Time of the read's first byte, in s.
         max_age_s : float
-            Stated age of the read, in s.
+            Maximum age of the data, in s.
 
         Returns
         -------
         LogPosition or None
-            None if no observation is young enough.
+            None if no observation is recent enough.
         """
         oldest = now - max_age_s
         for observation in self._observations:
-            if observation.asked_at >= oldest:
+            if observation.sent_at >= oldest:
                 return observation.position
         return None
 
@@ -96,5 +97,5 @@
         return self._observations[-1] if self._observations else None
 
     def clear(self) -> None:
-        """Forget everything, because the primary changed."""
+        """Drop all observations, because the primary changed."""
         self._observations.clear()
--- a/packages/guavabarrow-core/src/guavabarrow_core/read_router.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/read_router.py
@@ -1,4 +1,4 @@
-"""Chooses the database for a read."""
+"""Selection of the database for a read."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
     position : LogPosition
         Highest position that the session has written.
     arrived_at : float
-        Monotonic time at which the read arrived; ages count from here.
+        Monotonic time at which the read arrived, in s; ages are measured from it.
     max_age_s : float or None
-        Stated age; None if only the session's own writes matter.
+        Maximum age of the data, in s; None if the read must only see the session's
+        own writes.
     primary_only : bool
         Whether the session token or the transaction requires the primary.
     """
@@ -39,8 +40,8 @@
     primary_only: bool = False
 
     @property
-    def oldest_as_of(self) -> float:
-        """Time before which every acknowledged write must be visible."""
+    def required_safe_time(self) -> float:
+        """Time, in s, before which every acknowledged write must be visible."""
         if self.max_age_s is None:
             return self.arrived_at - SESSION_READ_MAX_AGE_S
         return self.arrived_at - self.max_age_s
@@ -56,48 +57,48 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitForReport:
-    """Decide again when a report arrives or after ``timeout_s``."""
+    """Choose again when a report arrives or after ``timeout_s``."""
 
     timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class NoDatabase:
-    """No reachable database satisfies the demand now."""
+    """No reachable database satisfies the requirement now."""
 
 
-Route = ReadFrom | WaitForReport | NoDatabase
+RoutingDecision = ReadFrom | WaitForReport | NoDatabase
 
 
 @dataclass(slots=True)
 class PoolLoad:
-    """Outstanding work per database, keyed by database name."""
+    """Outstanding statements of this VM, keyed by database name."""
 
     by_database: dict[str, int] = field(default_factory=dict)
 
     def of(self, database: str) -> int:
-        """Return the outstanding statements of ``database``."""
+        """Return the number of outstanding statements of ``database``."""
         return self.by_database.get(database, 0)
 
 
 class ReadPolicy(ABC):
-    """Decides between replicas, waiting and the primary."""
+    """Chooses between a replica, waiting and the primary."""
 
     def route(
         self,
-        demand: ReadRequirement,
+        requirement: ReadRequirement,
         *,
         view: GroupView,
         leaving: frozenset[str],
         load: PoolLoad,
         waited_s: float,
         now: float,
-    ) -> Route:
+    ) -> RoutingDecision:
         """Choose a database.
 
         Parameters
         ----------
-        demand : ReadRequirement
+        requirement : ReadRequirement
             What the read requires.
         view : GroupView
             Reports of the group.
@@ -106,63 +107,65 @@
         load : PoolLoad
             Outstanding statements of this VM.
         waited_s : float
-            Seconds this read has waited so far.
+            Time that this read has waited so far, in s.
         now : float
-            Monotonic time.
+            Monotonic time, in s.
 
         Returns
         -------
-        Route
-            Database, wait or refusal.
+        RoutingDecision
+            Database, wait, or no database.
         """
-        if not demand.primary_only:
-            replicas = self._fresh_replicas(demand, view=view, now=now)
+        if not requirement.primary_only:
+            replicas = self._fresh_replicas(requirement, view=view, now=now)
             usable = [name for name in replicas if name not in leaving]
             if usable:
                 best = min(usable, key=lambda name: (load.of(name), name))
                 return ReadFrom(best, is_replica=True)
-            wait_s = self._replica_wait_s(demand, view=view, now=now) - waited_s
+            wait_s = self._replica_wait_s(requirement, view=view, now=now) - waited_s
             if wait_s > 0:
                 return WaitForReport(wait_s)
-        return self._primary(demand, view=view)
+        return self._primary(requirement, view=view)
 
     @abstractmethod
     def _replica_wait_s(
-        self, demand: ReadRequirement, *, view: GroupView, now: float
+        self, requirement: ReadRequirement, *, view: GroupView, now: float
     ) -> float:
-        """Return how long to wait for a replica before using the primary."""
+        """Return how long, in s, to wait for a replica before using the primary."""
 
     def _fresh_replicas(
-        self, demand: ReadRequirement, *, view: GroupView, now: float
+        self, requirement: ReadRequirement, *, view: GroupView, now: float
     ) -> list[str]:
         return [
             report.database
             for report in view.by_database.values()
             if report.role is Role.REPLICA
             and now - report.received_at < REPORT_STALE_S
-            and self._satisfies(report, demand, view=view)
+            and self._satisfies(report, requirement, view=view)
         ]
 
     def _satisfies(
         self,
         report: DatabaseReport,
-        demand: ReadRequirement,
+        requirement: ReadRequirement,
         *,
         view: GroupView,
     ) -> bool:
-        if not report.lineage.satisfies(demand.position):
+        if not report.lineage.satisfies(requirement.position):
             return False
-        return view.safe_time(report) >= demand.oldest_as_of
+        return view.safe_time(report) >= requirement.required_safe_time
 
-    def _primary(self, demand: ReadRequirement, *, view: GroupView) -> Route:
+    def _primary(
+        self, requirement: ReadRequirement, *, view: GroupView
+    ) -> RoutingDecision:
         primary = view.primary
         if primary is None:
             return NoDatabase()
-        if not primary.lineage.satisfies(demand.position):
+        if not primary.lineage.satisfies(requirement.position):
             return WaitForReport(REPORT_STALE_S)
-        if demand.max_age_s is None:
+        if requirement.max_age_s is None:
             return ReadFrom(primary.database, is_replica=False)
-        if view.confirmed_at < demand.oldest_as_of:
+        if view.confirmed_at < requirement.required_safe_time:
             return WaitForReport(REPORT_STALE_S)
         return ReadFrom(primary.database, is_replica=False)
 
@@ -171,12 +174,12 @@
     """Baseline: all reads go to the primary."""
 
     def _replica_wait_s(
-        self, demand: ReadRequirement, *, view: GroupView, now: float
+        self, requirement: ReadRequirement, *, view: GroupView, now: float
     ) -> float:
         return 0.0
 
     def _fresh_replicas(
-        self, demand: ReadRequirement, *, view: GroupView, now: float
+        self, requirement: ReadRequirement, *, view: GroupView, now: float
     ) -> list[str]:
         return []
 
@@ -188,29 +191,29 @@
     wait_s: float = MAX_REPLICA_WAIT_S
 
     def _replica_wait_s(
-        self, demand: ReadRequirement, *, view: GroupView, now: float
+        self, requirement: ReadRequirement, *, view: GroupView, now: float
     ) -> float:
         return self.wait_s
 
 
 @dataclass(slots=True)
 class AdaptiveReadPolicy(ReadPolicy):
-    """Waits for a replica only where one can be expected to satisfy the read soon.
+    """Waits for a replica only if one is expected to satisfy the read soon.
 
-    A session's writes were acknowledged by a majority, so some replica holds them and
-    the next probe shows which. A stated age below the observed lag cannot be met by
+    A session's writes were acknowledged by a majority, so some replica has them and
+    the next probe shows which. A maximum age below the observed lag cannot be met by
     a replica, however long the read waits.
 
     Parameters
     ----------
     max_wait_s : float
-        Longest wait for a replica.
+        Longest wait for a replica, in s.
     """
 
     max_wait_s: float = MAX_REPLICA_WAIT_S
 
     def _replica_wait_s(
-        self, demand: ReadRequirement, *, view: GroupView, now: float
+        self, requirement: ReadRequirement, *, view: GroupView, now: float
     ) -> float:
         lags = [
             report.received_at - view.safe_time(report)
@@ -219,6 +222,6 @@
         ]
         if not lags:
             return 0.0
-        if demand.max_age_s is not None and min(lags) > demand.max_age_s:
+        if requirement.max_age_s is not None and min(lags) > requirement.max_age_s:
             return 0.0
         return self.max_wait_s
