--- a/packages/guavabarrow-core/src/guavabarrow_core/session_configuration.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/session_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration of VMs whose callers' sessions are connections."""
+"""Configuration of VMs whose callers keep one connection per session."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Consistency(Enum):
-    """What the reads of a route must see."""
+    """Read consistency of a route."""
 
     PRIMARY = "primary"
     STATED_AGE = "stated_age"
@@ -29,11 +29,11 @@
     service : str
         Database group that holds it.
     consistency : Consistency
-        What its reads must see.
+        Consistency of its reads.
     max_age_s : float
-        Age that reads may have, in s.
+        Maximum age of the data that reads return, in s.
     timeout_s : float
-        Limit of one statement, in s.
+        Timeout of one statement, in s.
     objective_s : float
         Latency objective of a whole operation, in s.
     priority : int
@@ -59,9 +59,9 @@
     Parameters
     ----------
     max_connections : int
-        Connections to each of its targets from all VMs together.
+        Connections to each of its targets over the whole fleet.
     sync_replicas : int
-        Replicas that hold a commit before it is acknowledged.
+        Replicas that must have a commit before it is acknowledged.
     """
 
     max_connections: int = 20
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionTeam:
-    """A team with its keys and rate."""
+    """A team with its keys and rate limit."""
 
     name: str
     keys: frozenset[str]
@@ -84,11 +84,11 @@
     Parameters
     ----------
     version : int
-        Only rises in one lifetime of a process.
+        Never decreases within one process.
     idle_transaction_s : float
-        Idle time after which a transaction may be ended, in s.
+        Idle time after which a transaction may be aborted, in s.
     max_message_bytes : int
-        Largest message of a caller.
+        Maximum size of a caller's message, in bytes.
     """
 
     version: int
@@ -100,7 +100,7 @@
     max_message_bytes: int = 262144
 
     def rates(self) -> dict[str, RateLimit]:
-        """Return the rates of all teams that have one."""
+        """Return the rate limits of all teams that have one, keyed by team."""
         return {
             team.name: team.rate
             for team in self.team_by_name.values()
--- a/packages/guavabarrow-core/src/guavabarrow_core/session_messages.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/session_messages.py
@@ -1,6 +1,6 @@
-"""Messages of sessions that are connections: statements, answers and failures.
+"""Messages of connection-based sessions: statements, replies and failures.
 
-The types carry no wire format; a codec translates them.
+The types are independent of the wire format; a codec encodes and decodes them.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class StatementKind(Enum):
-    """What a statement asks for."""
+    """Kind of a statement."""
 
     BEGIN = auto()
     BEGIN_READ_ONLY = auto()
@@ -30,7 +30,7 @@
 
 
 class FailureCode(Enum):
-    """Why a statement or a session got no result."""
+    """Why a statement or a session failed."""
 
     OVERLOADED = "overloaded"
     ABORTED = "aborted"
@@ -58,7 +58,7 @@
         FailureCode.UNKNOWN_PREPARED,
     }
 )
-"""Codes with which a target says that it did not run the statement."""
+"""Failure codes of a target that guarantee that the statement was not run."""
 
 
 class TransactionState(Enum):
@@ -76,15 +76,15 @@
     Parameters
     ----------
     kind : StatementKind
-        What it asks for.
+        Kind of the statement.
     text : str
-        Unchanged text.
+        Original text.
     name : str
-        Item, value name or prepared name, depending on the kind.
+        Name of the item, session value or prepared statement, depending on the kind.
     argument : str
-        Value of a setting, shape of a prepared statement, or the rest of the text.
+        Session value, shape of a prepared statement, or the rest of the text.
     writes : bool
-        Whether a prepared statement or a plain statement writes.
+        Whether the statement, prepared or not, writes.
     """
 
     kind: StatementKind
@@ -106,11 +106,11 @@
     Parameters
     ----------
     database : str
-        Database at the front, service at a target.
+        Database in a message to the front, service in one to a target.
     principal : str
-        Key of a caller at the front, team at a target.
+        Key of the caller in a message to the front, team in one to a target.
     target_id : str
-        Target that the sender expects; empty at the front.
+        Target that the sender expects; empty in a message to the front.
     """
 
     database: str
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementRequest:
-    """A statement with the id under which its caller sent it."""
+    """A statement with the request id that its caller set."""
 
     request_id: str
     statement: Statement
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseSession:
-    """The peer ends the session."""
+    """The peer closes the session."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -161,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionReady:
-    """The session takes the next statement.
+    """The session is ready for the next statement.
 
     Parameters
     ----------
@@ -177,29 +177,29 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedMessage:
-    """Bytes that are no message of the protocol; the stream cannot go on."""
+    """Bytes that cannot be parsed; the rest of the stream is unusable."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class TargetStatus:
-    """What a target says about itself.
+    """Status that a target reports.
 
     Parameters
     ----------
     is_primary : bool
         Whether it accepts writes.
     term : int
-        Newest term that it knows; its log may still end in an older one.
+        Newest term that it has seen; its last log entry may have an older one.
     received : LogPosition
-        End of the log that it holds.
+        End of its log.
     paused_term : int
-        Term for which it receives no log, 0 if it receives.
+        Term for which it has paused replication, 0 if it replicates.
     lag_ms : float
-        How late it applies, in ms.
+        Delay with which it applies the log, in ms.
     busy, connections : int
-        Statements that run and open connections.
+        Number of running statements and of open connections.
     """
 
     is_primary: bool
@@ -213,7 +213,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Everything that a target answered to one statement."""
+    """Complete reply of a target to one statement."""
 
     rows: tuple[str, ...]
     outcome: Completed | StatementFailed
--- a/packages/guavabarrow-core/src/guavabarrow_core/session_token.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/session_token.py
@@ -1,7 +1,7 @@
-"""Session tokens: what a session has seen, carried by the caller.
+"""Session tokens: log positions that a session has observed, kept by the caller.
 
-A token lists the highest log position seen per database group. Any VM can honour
-it, so sessions roam without shared state.
+A token lists the highest log position observed per database group. Any VM can verify
+it, so sessions move between VMs without shared state.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionToken:
-    """Positions that a session has seen.
+    """Log positions that a session has observed.
 
     Parameters
     ----------
     by_group : dict of str to LogPosition
-        Highest position seen, keyed by group.
+        Highest position observed, keyed by group.
     overflowed : bool
         True once groups were dropped to bound the size. Groups that are not
         listed must then be read at their primary.
@@ -39,22 +39,22 @@
     overflowed: bool = False
 
     def advanced(self, group: str, position: LogPosition) -> SessionToken:
-        """Return the token after the session has seen ``position``.
+        """Return the token after the session has observed ``position``.
 
         Parameters
         ----------
         group : str
             Database group.
         position : LogPosition
-            Position seen; an older one than recorded changes nothing.
+            Observed position; one older than recorded is ignored.
 
         Returns
         -------
         SessionToken
             The most recently used groups are kept, at most ``MAX_GROUPS``.
         """
-        known = self.by_group.get(group)
-        highest = position if known is None else max(known, position)
+        recorded = self.by_group.get(group)
+        highest = position if recorded is None else max(recorded, position)
         by_group = {name: at for name, at in self.by_group.items() if name != group}
         by_group[group] = highest
         overflowed = self.overflowed
@@ -64,11 +64,11 @@
         return SessionToken(by_group, overflowed)
 
     def position_of(self, group: str) -> LogPosition:
-        """Return the position seen in ``group``, the empty log if none."""
+        """Return the position observed in ``group``, the empty log if none."""
         return self.by_group.get(group, LogPosition(0, 0))
 
     def requires_primary(self, group: str) -> bool:
-        """Tell whether only the primary can satisfy this token for ``group``."""
+        """Return whether only the primary can satisfy this token for ``group``."""
         return self.overflowed and group not in self.by_group
 
 
--- a/packages/guavabarrow-core/src/guavabarrow_core/session_values.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/session_values.py
@@ -1,9 +1,9 @@
-"""Values and prepared statements of a session, and how to restore them elsewhere.
+"""Session values and prepared statements, and how to restore them on a connection.
 
-A target connection is shared by sessions in turn. Before a session's statement runs,
-the connection is given exactly the values that the session was told are set.
-Prepared statements get a name that depends on their shape alone, so that sessions
-with different names for one shape share it and never collide.
+Target connections are pooled and serve several sessions in turn. Before a session's
+statement runs, the connection is set to exactly the values that were acknowledged to
+the session. Prepared statements get a name derived from their shape alone, so that
+sessions with different names for one shape share it and their names never collide.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 
     @property
     def shared_name(self) -> str:
-        """Name under which target connections know it."""
+        """Name of the prepared statement on target connections."""
         return f"g{'w' if self.writes else 'r'}_{self.shape}"
 
 
 @dataclass(slots=True)
 class SessionValues:
-    """Values and prepared statements that a session was told are in force."""
+    """Values and prepared statements that were acknowledged to a session."""
 
     by_name: dict[str, str] = field(default_factory=dict)
     prepared_by_name: dict[str, PreparedShape] = field(default_factory=dict)
@@ -47,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RestorePlan:
-    """Steps that bring a connection to the values of a session.
+    """Steps that give a connection the state that a session's statement needs.
 
     Parameters
     ----------
     reset : bool
-        Whether to drop everything first.
+        Whether to discard all values and prepared statements first.
     values : tuple of (str, str)
         Values to set.
     prepare : tuple of PreparedShape
@@ -66,17 +66,17 @@
 
 @dataclass(slots=True)
 class ConnectionValues:
-    """Values and prepared statements that a target connection holds.
+    """Values and prepared statements that are set on a target connection.
 
     Examples
     --------
-    >>> held = ConnectionValues()
+    >>> connection = ConnectionValues()
     >>> session = SessionValues(by_name={"zone": "north"})
-    >>> plan = held.plan(session, None)
+    >>> plan = connection.plan(session, None)
     >>> plan.values
     (('zone', 'north'),)
-    >>> held.apply(plan)
-    >>> held.plan(SessionValues(), None).reset
+    >>> connection.apply(plan)
+    >>> connection.plan(SessionValues(), None).reset
     True
     """
 
@@ -89,7 +89,7 @@
         Parameters
         ----------
         session : SessionValues
-            Values in force.
+            Values that the session has set.
         needed : PreparedShape or None
             Prepared statement that is about to run.
 
@@ -99,16 +99,16 @@
             Empty if the connection already matches.
         """
         reset = any(name not in session.by_name for name in self.by_name)
-        held = {} if reset else self.by_name
+        current = {} if reset else self.by_name
         values = tuple(
             (name, value)
             for name, value in session.by_name.items()
-            if held.get(name) != value
+            if current.get(name) != value
         )
-        is_held = needed is None or (
+        is_prepared = needed is None or (
             not reset and needed.shared_name in self.shared_names
         )
-        prepare = () if needed is None or is_held else (needed,)
+        prepare = () if needed is None or is_prepared else (needed,)
         return RestorePlan(reset, values, prepare)
 
     def apply(self, plan: RestorePlan) -> None:
--- a/packages/guavabarrow-core/tests/test_session_token.py
+++ b/packages/guavabarrow-core/tests/test_session_token.py
@@ -22,7 +22,7 @@
 
 
 @given(st.integers(min_value=0), st.integers(min_value=1, max_value=255))
-def test_changed_byte_is_refused(position, change):
+def test_changed_byte_is_rejected(position, change):
     text = SIGNER.encode(SessionToken({"g": LogPosition(1, 2)}), team="a")
     index = position % len(text)
     changed = text[:index] + chr((ord(text[index]) + change) % 128) + text[index + 1 :]
@@ -33,12 +33,12 @@
         assert decoded.unwrap() == SessionToken({"g": LogPosition(1, 2)})
 
 
-def test_other_team_is_refused():
+def test_token_of_another_team_is_rejected():
     text = SIGNER.encode(SessionToken({"g": LogPosition(1, 2)}), team="a")
     assert SIGNER.decode(text, team="b").failure()
 
 
-def test_size_is_bounded_and_dropped_groups_need_the_primary():
+def test_size_is_bounded_and_dropped_groups_require_the_primary():
     token = SessionToken()
     for number in range(100):
         token = token.advanced(f"service-with-a-long-name-{number}", LogPosition(9, 9))
@@ -48,6 +48,6 @@
     assert not token.requires_primary("service-with-a-long-name-99")
 
 
-def test_older_position_changes_nothing():
+def test_older_position_is_ignored():
     token = SessionToken().advanced("g", LogPosition(2, 5))
     assert token.advanced("g", LogPosition(1, 9)).position_of("g") == LogPosition(2, 5)
