--- a/packages/guavabarrow-core/src/guavabarrow_core/__init__.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/__init__.py
@@ -1,5 +1,5 @@
-"""Coordination parts of guavabarrow, free of sockets, clocks and global randomness.
+"""Coordination logic of guavabarrow, without I/O, clocks or global randomness.
 
-Each part is a state machine: it takes typed events together with ``now`` in
-seconds of a monotonic clock and returns typed actions.
+Each component is a state machine: it takes typed events together with ``now``, in
+seconds of a monotonic clock, and returns typed actions.
 """
--- a/packages/guavabarrow-core/src/guavabarrow_core/exceptions.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/exceptions.py
@@ -1,7 +1,7 @@
-"""Typed failures shared by all parts.
+"""Exceptions shared by all packages.
 
-Every failure that reaches a caller is a :class:`RequestError`: it names a stable code,
-an HTTP status and whether the request ran.
+Every error that reaches a caller over HTTP is a :class:`RequestError`, which has a
+stable code, an HTTP status and the execution status of the request.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ExecutionStatus(Enum):
-    """Whether a request had an effect."""
+    """Whether a request was executed."""
 
     NOT_RUN = "not_run"
     OUTCOME_UNKNOWN = "outcome_unknown"
@@ -22,7 +22,7 @@
 
 
 class GuavabarrowError(Exception):
-    """Base class of all failures raised by guavabarrow."""
+    """Base class of all exceptions raised by guavabarrow."""
 
 
 class TokenError(GuavabarrowError):
@@ -39,7 +39,7 @@
     Parameters
     ----------
     expected : int
-        Version the change was based on.
+        Version that the change was based on.
     actual : int
         Version found at the head of the chain.
     """
@@ -54,14 +54,14 @@
 
 
 class RequestError(GuavabarrowError):
-    """A request that got no result.
+    """A failed request.
 
     Parameters
     ----------
     detail : str
         What happened and what the caller can do about it.
     retry_after_s : float or None
-        Seconds after which a repeat may succeed.
+        Seconds after which a retry may succeed.
 
     Attributes
     ----------
@@ -70,7 +70,7 @@
     status : int
         HTTP status code.
     ran : ExecutionStatus
-        Whether the request had an effect.
+        Whether the request was executed.
     """
 
     code = "internal"
@@ -98,7 +98,7 @@
 
 
 class RequestIdRequired(RequestError):
-    """A non-idempotent write came without a request id."""
+    """A non-idempotent write has no request id."""
 
     code = "request_id_required"
     status = 400
@@ -112,7 +112,7 @@
 
 
 class RequestIdReused(RequestError):
-    """The request id was used before with another body."""
+    """The request id was already used with a different body."""
 
     code = "request_id_reused"
     status = 409
@@ -126,21 +126,21 @@
 
 
 class KeyInStatement(RequestError):
-    """The body contains the caller's key, which targets must never see."""
+    """The body contains the caller's key, which must never be sent to targets."""
 
     code = "key_in_statement"
     status = 400
 
 
 class Unauthenticated(RequestError):
-    """The key is missing, unknown or withdrawn."""
+    """The key is missing, unknown or revoked."""
 
     code = "unauthenticated"
     status = 401
 
 
 class ServiceNotAllowed(RequestError):
-    """The team does not reach the named service."""
+    """The team may not use the named service."""
 
     code = "service_not_allowed"
     status = 403
@@ -154,7 +154,7 @@
 
 
 class UnknownTransaction(RequestError):
-    """The transaction has ended, expired or was opened at another VM."""
+    """The transaction has ended, has expired or was opened on another VM."""
 
     code = "unknown_transaction"
     status = 404
@@ -168,21 +168,21 @@
 
 
 class RateExceeded(RequestError):
-    """The team is above its rate and burst."""
+    """The team exceeds its rate and burst."""
 
     code = "rate_exceeded"
     status = 429
 
 
 class Draining(RequestError):
-    """This VM or its failure domain takes no new work."""
+    """This VM or its failure domain accepts no new work."""
 
     code = "draining"
     status = 503
 
 
 class NoConfiguration(RequestError):
-    """This VM holds no configuration yet."""
+    """This VM has no configuration yet."""
 
     code = "no_configuration"
     status = 503
@@ -210,14 +210,14 @@
 
 
 class NoFreshDatabase(RequestError):
-    """No reachable database satisfies the session token or the stated age."""
+    """No reachable database satisfies the session token or the maximum age."""
 
     code = "no_database_fresh_enough"
     status = 503
 
 
 class OutcomeUnknown(RequestError):
-    """The request may have run; repeat it with the same request id to learn."""
+    """The request may have run; a retry with the same request id resolves this."""
 
     code = "outcome_unknown"
     status = 504
@@ -232,16 +232,16 @@
 
 
 class SessionError(GuavabarrowError):
-    """A statement of a connected session got no result.
+    """A failed statement or connection-based session.
 
     Parameters
     ----------
     code : FailureCode
-        What the caller is told.
+        Code that is reported to the caller.
     detail : str
         What happened.
     retry_after_s : float or None
-        Seconds after which a repeat may succeed.
+        Seconds after which a retry may succeed.
     """
 
     def __init__(
--- a/packages/guavabarrow-core/src/guavabarrow_core/key_ring.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/key_ring.py
@@ -1,4 +1,4 @@
-"""Finds the team of a key."""
+"""Lookup of the team that owns a key."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyOwner:
-    """Team and id of a key in force."""
+    """Team and id of a valid key."""
 
     team: str
     key_id: str
 
 
 class KeyRing:
-    """Keys in force of one configuration version.
+    """Valid keys of one configuration version.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
 
     @classmethod
     def from_fleet(cls, fleet: Fleet) -> KeyRing:
-        """Collect the keys of all teams."""
+        """Create a key ring from the keys of all teams."""
         return cls(
             {
                 key_hash: KeyOwner(team.name, key_id)
@@ -44,9 +44,9 @@
         )
 
     def find(self, key: str) -> KeyOwner | None:
-        """Return the owner of a key, None if it is unknown or withdrawn."""
+        """Return the owner of a key, None if the key is unknown or revoked."""
         return self._owner_by_hash.get(hash_key(key))
 
     def contains(self, owner: KeyOwner) -> bool:
-        """Tell whether the key of ``owner`` is still in force."""
+        """Return whether the key of ``owner`` is still valid."""
         return owner in self._owners
--- a/packages/guavabarrow-core/src/guavabarrow_core/request_id.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/request_id.py
@@ -1,4 +1,4 @@
-"""Request ids that carry their time of creation (UUID version 7, RFC 9562)."""
+"""Request ids that contain their creation time (UUID version 7, RFC 9562)."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     BadRequest
         If it is not a UUID of version 7.
     RequestIdExpired
-        If its outcome may have been forgotten, or it comes from the future.
+        If its outcome may no longer be retained, or its time is in the future.
     """
     try:
         parsed = UUID(text)
--- a/packages/guavabarrow-core/src/guavabarrow_core/statement.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/statement.py
@@ -1,4 +1,4 @@
-"""Checks on the text of a statement that need no SQL parser."""
+"""Checks of a statement's text that need no SQL parser."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def check_statement(sql: str) -> None:
-    """Refuse statements that would break out of their transaction.
+    """Reject statements that would escape their transaction.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
     Raises
     ------
     BadRequest
-        If it is empty or controls transactions or connections.
+        If it is empty, controls transactions or connections, or uses a reserved name.
 
     Examples
     --------
