--- a/packages/guavabarrow-core/src/guavabarrow_core/rate_limiter.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/rate_limiter.py
@@ -1,11 +1,12 @@
-"""A VM's part of a team's rate, in proportion to where its callers are.
+"""Distributed rate limiter: each VM admits a share of a team's rate.
 
-The rate of a team holds over all VMs. Each VM admits its part of it; the parts follow
-the demand that the VMs tell each other. A VM that falls silent may be cut off and
-serving: the others leave it the part that it had, and it does the same by them.
+A team's rate limit applies to all VMs together. The VMs publish their demand to each
+other, and each admits a share of the rate in proportion to its demand. An unreachable
+VM may still be serving on the far side of a network partition: the others keep
+reserving the share that it had last, and it reserves theirs.
 
-Demand is told one by one inside a failure domain and as sums between domains, so that
-what a VM hears does not grow with the fleet.
+Demand is published per VM inside a failure domain and as sums between domains, so that
+the data that a VM receives does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -21,43 +22,48 @@
     from collections.abc import Callable
 
 DEMAND_SMOOTHING_S = 4.0
-"""Time constant of the demand estimate; a few operations of a small team."""
+"""Time constant of the demand estimate, in s; a few operations of a small team."""
 
-MIN_DEMAND_PER_S = 0.5
-"""Most demand credited to a VM without callers, so that a first caller is admitted."""
+MAX_IDLE_DEMAND_PER_S = 0.5
+"""Upper limit of the demand assumed for a VM without callers, in operations per second;
+with none assumed, its first caller would be refused."""
 
-MIN_DEMAND_PART = 0.25
-"""Part of a team's rate that is kept for VMs without callers, all of them together."""
+IDLE_RATE_FRACTION = 0.25
+"""Fraction of a team's rate reserved for all VMs without callers together."""
 
-MAX_TOLD = 128
-"""Figures that wait to be heard by all; changes may bring 30 a second for a moment."""
+MAX_UNCONFIRMED = 128
+"""Most published estimates that wait until all VMs have received them; while much
+changes, up to 30 per second are published for a short time."""
 
-RELAY_S = 0.9
-"""Time until a demand has gone on into the sums of its failure domain: one pulse and
-its way."""
+RELAY_DELAY_S = 0.9
+"""Time until a published demand is included in the sums of its failure domain, in s:
+one heartbeat interval and the transmission."""
 
-MIN_CHANGE = 0.2
-"""Part by which a demand must change before it is told again."""
+MIN_RELATIVE_CHANGE = 0.2
+"""Relative change of a demand from which it is published again."""
 
 MIN_CHANGE_PER_S = 0.25
-"""Smallest change that is told: one operation within the smoothing."""
+"""Smallest change that is published: one operation per ``DEMAND_SMOOTHING_S``."""
 
-SILENT_S = 1.8
-"""A VM that was not heard for two pulses and a margin may be cut off and serving."""
+UNREACHABLE_AFTER_S = 1.8
+"""Time without a heartbeat after which a VM counts as unreachable, in s: two heartbeat
+intervals and a margin. It may still be serving behind a network partition."""
 
 MIN_SMOOTHING_S = 0.5
-"""Time constant of a new lifetime's estimate, which has nothing to go by yet."""
+"""Time constant of the first estimate after a process start, in s, when no earlier
+demand is available."""
 
-TOLERANCE_PART = 0.9
-"""Part of the deployment's tolerance that is used; the rest covers parts in motion."""
+TOLERANCE_FRACTION = 0.9
+"""Fraction of the deployment's tolerance that is used; the rest covers the
+transition while the VMs' shares change."""
 
-FIRST_BURST_S = 1.0
-"""A new lifetime starts with at most the tokens of this long: the one before
-may have spent the burst within the same window, but none while it was down."""
+INITIAL_BURST_S = 1.0
+"""A new process starts with at most the tokens of this time, in s: the previous process
+may have spent the burst within the same window, but spent nothing while it was down."""
 
-SMALL_BURST = 2.0
-"""Bursts below are rounded to whole operations, up at some VMs and down at others, so
-that all of them together are right; a fraction of a token admits nothing."""
+ROUNDING_LIMIT = 2.0
+"""Smaller bursts are rounded to whole operations, up at some VMs and down at others, so
+that their sum is right on average; a fraction of a token admits no operation."""
 
 
 @dataclass(slots=True)
@@ -68,37 +74,41 @@
     ----------
     tokens : float
         Operations that may start now.
-    filled_at : float
+    refilled_at : float
         Time of the last refill.
     demand_per_s : float
-        Smoothed rate at which operations were asked for.
+        Smoothed rate of requested operations.
+    demand_at : float
+        Time at which the estimate was last decayed.
+    created_at : float
+        Time from which the estimate covers the demand.
     """
 
     tokens: float
-    filled_at: float
+    refilled_at: float
     demand_per_s: float = 0.0
     demand_at: float = 0.0
-    counted_from: float = 0.0
+    created_at: float = 0.0
 
-    def count_demand(self, now: float) -> None:
-        """Count one operation asked for."""
+    def record_demand(self, now: float) -> None:
+        """Add one requested operation to the estimate."""
         self.decay(now)
         self.demand_per_s += 1.0 / self._smoothing_s(now)
 
     def decay(self, now: float) -> None:
-        """Age the demand estimate."""
+        """Decay the demand estimate to ``now``."""
         elapsed_s = max(0.0, now - self.demand_at)
         self.demand_per_s *= max(0.0, 1.0 - elapsed_s / self._smoothing_s(now))
         self.demand_at = now
 
     def _smoothing_s(self, now: float) -> float:
-        age_s = now - self.counted_from
+        age_s = now - self.created_at
         return min(DEMAND_SMOOTHING_S, max(MIN_SMOOTHING_S, age_s))
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """Rate of a team over all VMs.
+    """Rate limit of a team over all VMs.
 
     Parameters
     ----------
@@ -114,29 +124,29 @@
 
 @dataclass(frozen=True, slots=True)
 class RateTolerance:
-    """How far the deployment lets all VMs together go beyond a rate.
+    """By how much all VMs together may exceed a rate limit.
 
     Parameters
     ----------
     window_s : float
-        Span over which operations are counted, in s.
-    over : float
-        Part of rate and burst that may come on top.
+        Length of the window in which operations are counted, in s.
+    excess_fraction : float
+        Tolerated excess as a fraction of rate and burst.
     slack : float
-        Operations per window that may come on top.
+        Tolerated excess in operations per window.
     """
 
     window_s: float = 5.0
-    over: float = 0.0
+    excess_fraction: float = 0.0
     slack: float = 0.0
 
 
 DOMAIN_PREFIX = "domain "
-"""Sets failure domains apart from VMs; no name of a VM holds a space."""
+"""Distinguishes failure domains from VMs; VM names contain no spaces."""
 
 
 def domain_source(domain: str) -> str:
-    """Return the name under which the sums of a failure domain are kept."""
+    """Return the key under which the summed demand of a failure domain is stored."""
     return DOMAIN_PREFIX + domain
 
 
@@ -146,22 +156,25 @@
 
 @dataclass(slots=True)
 class RateLimiter:
-    """Rates of all teams at one VM.
+    """Rate limiter of one VM or of one failure domain, for all teams.
 
-    A source of demand is another VM of the own failure domain, or another domain.
+    A source of demand is another VM of the same failure domain, or another domain.
 
     Parameters
     ----------
     vm : str
-        This VM.
+        This VM, or the key of its failure domain.
     tolerance : RateTolerance
-        What may come on top of the rates.
-    own_vms : int
-        VMs that these rates are for, several if a failure domain shares its part.
-    relay_s : float
-        Time until those who divide the rates have heard a demand that was told.
-    reserve_part : callable
-        Part of a team's rate that is left to others beside their demand.
+        Tolerated excess over the rate limits.
+    represented_vms : int
+        VMs whose share this limiter admits, several if it serves a failure domain.
+    relay_delay_s : float
+        Time until a published demand reaches all limiters that use it, in s.
+    reserve_share : callable
+        Returns the fraction of a team's rate to reserve for other VMs in addition to
+        their share by demand.
+    emptied_at : float or None
+        Time from which new buckets are refilled, once the tokens were discarded.
 
     Examples
     --------
@@ -173,51 +186,51 @@
 
     vm: str
     tolerance: RateTolerance = RateTolerance()
-    own_vms: int = 1
-    relay_s: float = 0.0
-    reserve_part: Callable[[str], float] = _no_reserve
-    empty_from: float | None = None
+    represented_vms: int = 1
+    relay_delay_s: float = 0.0
+    reserve_share: Callable[[str], float] = _no_reserve
+    emptied_at: float | None = None
     _rate_by_team: dict[str, RateLimit] = field(default_factory=dict)
     _bucket_by_team: dict[str, TeamBucket] = field(default_factory=dict)
     _vms_by_source: dict[str, int] = field(default_factory=dict)
     _demand_by_source: dict[str, dict[str, float]] = field(default_factory=dict)
-    _heard_at_by_source: dict[str, float] = field(default_factory=dict)
-    _agreed_demand: dict[str, float] = field(default_factory=dict)
-    _told_demand: dict[str, float] = field(default_factory=dict)
-    _told: deque[tuple[float, dict[str, float]]] = field(default_factory=deque)
-    _silent: frozenset[str] = frozenset()
-    _kept_part_by_team: dict[str, dict[str, float]] = field(default_factory=dict)
+    _updated_at_by_source: dict[str, float] = field(default_factory=dict)
+    _confirmed_demand: dict[str, float] = field(default_factory=dict)
+    _published_demand: dict[str, float] = field(default_factory=dict)
+    _unconfirmed: deque[tuple[float, dict[str, float]]] = field(default_factory=deque)
+    _unreachable: frozenset[str] = frozenset()
+    _reserved_share_by_team: dict[str, dict[str, float]] = field(default_factory=dict)
 
     def configure(self, rate_by_team: dict[str, RateLimit]) -> None:
-        """Take the rates of a configuration."""
+        """Set the rate limits of all teams."""
         self._rate_by_team = rate_by_team
 
     def set_members(
         self, vms: frozenset[str], vms_by_domain: dict[str, int] | None = None
     ) -> None:
-        """Take the VMs that may serve; the demand of others is dropped.
+        """Set the VMs that may serve; the demand of others is dropped.
 
         Parameters
         ----------
         vms : frozenset of str
-            Those of the own failure domain.
+            VMs of the same failure domain.
         vms_by_domain : dict of str to int, optional
-            How many there are in each other domain.
+            Number of VMs in each other domain.
         """
         domains = (vms_by_domain or {}).items()
         self._vms_by_source = {
             **dict.fromkeys(vms - {self.vm}, 1),
             **{domain_source(domain): count for domain, count in domains},
         }
-        self._silent &= self._vms_by_source.keys()
+        self._unreachable &= self._vms_by_source.keys()
         for source in self._demand_by_source.keys() - self._vms_by_source.keys():
             del self._demand_by_source[source]
-            del self._heard_at_by_source[source]
+            del self._updated_at_by_source[source]
 
     @property
     def members(self) -> int:
-        """Number of VMs that may serve, the own ones included."""
-        return self.own_vms + sum(self._vms_by_source.values())
+        """Number of VMs that may serve, the represented ones included."""
+        return self.represented_vms + sum(self._vms_by_source.values())
 
     def update_peer_demand(
         self,
@@ -227,7 +240,7 @@
         *,
         is_full: bool = True,
     ) -> None:
-        """Take the demand of another VM of the own failure domain.
+        """Store the demand of another VM of the same failure domain.
 
         Parameters
         ----------
@@ -238,13 +251,13 @@
         now : float
             Local time, in s.
         is_full : bool
-            Whether teams that are missing have none, rather than what they had.
+            Whether a missing team has no demand, rather than an unchanged one.
         """
         if vm not in self._vms_by_source:
             return
-        known = {} if is_full else self._demand_by_source.get(vm, {})
-        self._demand_by_source[vm] = {**known, **demand_by_team}
-        self._heard_at_by_source[vm] = now
+        previous = {} if is_full else self._demand_by_source.get(vm, {})
+        self._demand_by_source[vm] = {**previous, **demand_by_team}
+        self._updated_at_by_source[vm] = now
 
     def update_domain_demand(
         self,
@@ -254,154 +267,165 @@
         *,
         is_full: bool = True,
     ) -> None:
-        """Take the demand of another failure domain, as :meth:`learn` does."""
+        """Store the demand of another failure domain."""
         self.update_peer_demand(
             domain_source(domain), demand_by_team, now, is_full=is_full
         )
 
     def publish_demand(self, now: float) -> dict[str, float]:
-        """Return this VM's own demand by team, in operations per second.
+        """Return the demand to publish by team, in operations per second.
 
-        What is returned is told to the other VMs. This VM's own part is computed from
-        what it told and the others can have heard, so that all of them divide a rate
-        by the same figures.
+        This VM's share is computed from the newest published demand that all reachable
+        VMs have received, so that all VMs divide a rate by the same figures.
         """
         demand_by_team = {}
         for team, bucket in self._bucket_by_team.items():
             bucket.decay(now)
-            told = self._told_demand.get(team, 0.0)
-            change = abs(bucket.demand_per_s - told)
-            is_news = change >= max(MIN_CHANGE_PER_S, MIN_CHANGE * told)
-            value = round(bucket.demand_per_s, 1) if is_news else told
+            published = self._published_demand.get(team, 0.0)
+            change = abs(bucket.demand_per_s - published)
+            is_significant = change >= max(
+                MIN_CHANGE_PER_S, MIN_RELATIVE_CHANGE * published
+            )
+            value = round(bucket.demand_per_s, 1) if is_significant else published
             if value > 0.0:
                 demand_by_team[team] = value
-        silent = self._find_silent(now)
-        self._agree(silent, now)
-        self._told.append((now, demand_by_team))
-        self._told_demand = demand_by_team
-        self._silent = silent
-        if not silent:
-            self._keep_parts()
+        unreachable = self._find_unreachable(now)
+        self._confirm_published(unreachable, now)
+        self._unconfirmed.append((now, demand_by_team))
+        self._published_demand = demand_by_team
+        self._unreachable = unreachable
+        if not unreachable:
+            self._record_reserved_shares()
         return demand_by_team
 
-    def part(self, team: str) -> float:
-        """Return this VM's part of a team's rate, 0 to 1."""
-        own = self._own_demand(team)
-        live = [source for source in self._vms_by_source if source not in self._silent]
-        others = sum(self._demand_of(source, team) for source in live)
-        kept = sum(self._kept_part(team, source) for source in self._silent)
-        part = max(0.0, 1.0 - kept) * own / (own + others)
-        return max(0.0, part - self.reserve_part(team))
-
-    def unreachable_part(self, team: str) -> float:
-        """Return the part that is left to silent VMs of the own failure domain."""
+    def share(self, team: str) -> float:
+        """Return this VM's share of a team's rate, 0 to 1."""
+        own = self._local_demand(team)
+        reachable = [
+            source for source in self._vms_by_source if source not in self._unreachable
+        ]
+        others = sum(self._demand_from(source, team) for source in reachable)
+        reserved = sum(
+            self._reserved_share(team, source) for source in self._unreachable
+        )
+        share = max(0.0, 1.0 - reserved) * own / (own + others)
+        return max(0.0, share - self.reserve_share(team))
+
+    def unreachable_share(self, team: str) -> float:
+        """Return the share reserved for unreachable VMs of the same failure domain."""
         return sum(
-            self._kept_part(team, source)
-            for source in self._silent
+            self._reserved_share(team, source)
+            for source in self._unreachable
             if not source.startswith(DOMAIN_PREFIX)
         )
 
-    def _demand_of(self, source: str, team: str) -> float:
-        least = self._least_demand(team) * self._vms_by_source[source]
-        return max(least, self._demand_by_source.get(source, {}).get(team, 0.0))
+    def _demand_from(self, source: str, team: str) -> float:
+        min_demand = self._min_demand_per_s(team) * self._vms_by_source[source]
+        return max(min_demand, self._demand_by_source.get(source, {}).get(team, 0.0))
 
-    def _least_demand(self, team: str) -> float:
-        """Return the demand that is credited to each VM, in operations per second."""
+    def _min_demand_per_s(self, team: str) -> float:
+        """Return the minimum demand assumed per VM, in operations per second."""
         rate = self._rate_by_team.get(team)
         if rate is None:
-            return MIN_DEMAND_PER_S
-        return min(MIN_DEMAND_PER_S, MIN_DEMAND_PART * rate.per_s / self.members)
+            return MAX_IDLE_DEMAND_PER_S
+        return min(
+            MAX_IDLE_DEMAND_PER_S, IDLE_RATE_FRACTION * rate.per_s / self.members
+        )
 
-    def _agree(self, silent: frozenset[str], now: float) -> None:
-        """Use the newest figures that every VM in contact can have heard."""
+    def _confirm_published(self, unreachable: frozenset[str], now: float) -> None:
+        """Select the newest published demand that all reachable VMs have received."""
         last_updates = [
             at
-            for source, at in self._heard_at_by_source.items()
-            if source not in silent
+            for source, at in self._updated_at_by_source.items()
+            if source not in unreachable
         ]
         cutoff = min(last_updates, default=now)
-        cutoff -= self.relay_s
-        while self._told and self._told[0][0] <= cutoff:
-            _, self._agreed_demand = self._told.popleft()
-        while len(self._told) > MAX_TOLD:
-            self._told.popleft()
-
-    def _own_demand(self, team: str) -> float:
-        agreed = self._agreed_demand.get(team, 0.0)
-        told = self._told_demand.get(team, 0.0)
-        return max(self._least_demand(team) * self.own_vms, min(agreed, told))
-
-    def _find_silent(self, now: float) -> frozenset[str]:
-        horizon = now - SILENT_S
+        cutoff -= self.relay_delay_s
+        while self._unconfirmed and self._unconfirmed[0][0] <= cutoff:
+            _, self._confirmed_demand = self._unconfirmed.popleft()
+        while len(self._unconfirmed) > MAX_UNCONFIRMED:
+            self._unconfirmed.popleft()
+
+    def _local_demand(self, team: str) -> float:
+        confirmed = self._confirmed_demand.get(team, 0.0)
+        published = self._published_demand.get(team, 0.0)
+        return max(
+            self._min_demand_per_s(team) * self.represented_vms,
+            min(confirmed, published),
+        )
+
+    def _find_unreachable(self, now: float) -> frozenset[str]:
+        oldest = now - UNREACHABLE_AFTER_S
         return frozenset(
             source
             for source in self._vms_by_source
-            if self._heard_at_by_source.get(source, float("-inf")) < horizon
+            if self._updated_at_by_source.get(source, float("-inf")) < oldest
         )
 
-    def _keep_parts(self) -> None:
+    def _record_reserved_shares(self) -> None:
         demands = self._demand_by_source.values()
         teams = {team for demand in demands for team in demand}
-        self._kept_part_by_team = {}
-        for team in teams | set(self._agreed_demand):
-            part_by_source = {
-                source: self._demand_of(source, team) for source in self._vms_by_source
+        self._reserved_share_by_team = {}
+        for team in teams | set(self._confirmed_demand):
+            share_by_source = {
+                source: self._demand_from(source, team)
+                for source in self._vms_by_source
             }
-            total = self._own_demand(team) + sum(part_by_source.values())
-            self._kept_part_by_team[team] = {
-                source: demand / total for source, demand in part_by_source.items()
+            total = self._local_demand(team) + sum(share_by_source.values())
+            self._reserved_share_by_team[team] = {
+                source: demand / total for source, demand in share_by_source.items()
             }
 
-    def _kept_part(self, team: str, source: str) -> float:
-        parts = self._kept_part_by_team.get(team, {})
-        return parts.get(source, self._vms_by_source[source] / self.members)
+    def _reserved_share(self, team: str, source: str) -> float:
+        shares = self._reserved_share_by_team.get(team, {})
+        return shares.get(source, self._vms_by_source[source] / self.members)
 
     def admit(self, team: str, now: float) -> bool:
-        """Take a token for one operation, False if the team has none here."""
+        """Take a token for one operation, False if this VM has none for the team."""
         rate = self._rate_by_team.get(team)
         if rate is None:
             return True
         bucket = self._bucket(team, rate, now)
-        bucket.count_demand(now)
-        part = self.part(team)
-        elapsed_s = max(0.0, now - bucket.filled_at)
+        bucket.record_demand(now)
+        share = self.share(team)
+        elapsed_s = max(0.0, now - bucket.refilled_at)
         bucket.tokens = min(
-            self._burst(team, rate, part),
-            bucket.tokens + elapsed_s * self._refill_per_s(rate, part),
+            self._burst(team, rate, share),
+            bucket.tokens + elapsed_s * self._refill_per_s(rate, share),
         )
-        bucket.filled_at = max(bucket.filled_at, now)
+        bucket.refilled_at = max(bucket.refilled_at, now)
         if bucket.tokens < 1.0:
             return False
         bucket.tokens -= 1.0
         return True
 
     def count(self, team: str, now: float) -> None:
-        """Count the demand of an operation that is admitted elsewhere."""
+        """Record the demand of an operation that another limiter admits."""
         rate = self._rate_by_team.get(team)
         if rate is not None:
-            self._bucket(team, rate, now).count_demand(now)
+            self._bucket(team, rate, now).record_demand(now)
 
-    def demand_of(self, team: str, now: float) -> float:
-        """Return this VM's own demand of a team, in operations per second."""
+    def local_demand_per_s(self, team: str, now: float) -> float:
+        """Return this VM's demand of a team, in operations per second."""
         bucket = self._bucket_by_team.get(team)
         if bucket is None:
             return 0.0
         bucket.decay(now)
         return bucket.demand_per_s
 
-    def hand_demand(self, pool: RateLimiter, now: float) -> None:
-        """Start a pool's estimates with the demand told in the own failure domain."""
+    def seed_demand(self, pool: RateLimiter, now: float) -> None:
+        """Initialise a pool's estimates with the published demand of its domain."""
         for team, rate in self._rate_by_team.items():
-            demand = self._told_demand.get(team, 0.0) + sum(
-                told.get(team, 0.0)
-                for source, told in self._demand_by_source.items()
+            demand = self._published_demand.get(team, 0.0) + sum(
+                demand_by_team.get(team, 0.0)
+                for source, demand_by_team in self._demand_by_source.items()
                 if not source.startswith(DOMAIN_PREFIX)
             )
             if demand > 0.0:
                 pool._bucket(team, rate, now).demand_per_s = demand
 
-    def take_tokens(self, now: float) -> dict[str, float]:
-        """Hand over all tokens, and start again without any."""
+    def drain_tokens(self, now: float) -> dict[str, float]:
+        """Remove and return all tokens."""
         tokens_by_team = {
             team: bucket.tokens
             for team, bucket in self._bucket_by_team.items()
@@ -411,65 +435,69 @@
         return tokens_by_team
 
     def add_tokens(self, tokens_by_team: dict[str, float], now: float) -> None:
-        """Take tokens that were left elsewhere."""
+        """Add tokens that another limiter gave up."""
         for team, tokens in tokens_by_team.items():
             rate = self._rate_by_team.get(team)
             if rate is not None:
                 self._bucket(team, rate, now).tokens += tokens
 
     def empty(self, now: float) -> None:
-        """Start again without tokens, because others have spent them."""
-        self.empty_from = now
+        """Discard all tokens, because other VMs may have spent them."""
+        self.emptied_at = now
         for bucket in self._bucket_by_team.values():
             bucket.tokens = 0.0
-            bucket.filled_at = now
+            bucket.refilled_at = now
 
     def _bucket(self, team: str, rate: RateLimit, now: float) -> TeamBucket:
         bucket = self._bucket_by_team.get(team)
         if bucket is None:
-            tokens, filled_at = 0.0, now
-            if self.empty_from is None:
-                tokens = self._burst(team, rate, self.part(team), FIRST_BURST_S)
+            tokens, refilled_at = 0.0, now
+            if self.emptied_at is None:
+                tokens = self._burst(team, rate, self.share(team), INITIAL_BURST_S)
             else:
-                filled_at = self.empty_from
+                refilled_at = self.emptied_at
             bucket = TeamBucket(
-                tokens=tokens, filled_at=filled_at, demand_at=now, counted_from=now
+                tokens=tokens, refilled_at=refilled_at, demand_at=now, created_at=now
             )
             self._bucket_by_team[team] = bucket
         return bucket
 
     def _burst(
-        self, team: str, rate: RateLimit, part: float, span_s: float = inf
+        self, team: str, rate: RateLimit, share: float, span_s: float = inf
     ) -> float:
-        """Return the most tokens; a VM with few callers has some, paid for by slack."""
-        total = rate.burst + self.tolerance.slack * TOLERANCE_PART
-        even = total * self.own_vms / self.members
-        burst = max(even, min(rate.burst, rate.per_s * span_s) * part)
-        if burst >= SMALL_BURST:
+        """Return the bucket size; slack covers a minimum for VMs with few callers."""
+        total = rate.burst + self.tolerance.slack * TOLERANCE_FRACTION
+        equal_share = total * self.represented_vms / self.members
+        burst = max(equal_share, min(rate.burst, rate.per_s * span_s) * share)
+        if burst >= ROUNDING_LIMIT:
             return burst
         whole = floor(burst)
         draw = xxh3_64_intdigest(f"{team}\0{self.vm}".encode()) / 2**64
         return whole + (1.0 if draw < burst - whole else 0.0)
 
-    def _refill_per_s(self, rate: RateLimit, part: float) -> float:
-        return rate.per_s * (1.0 + self.tolerance.over * TOLERANCE_PART) * part
+    def _refill_per_s(self, rate: RateLimit, share: float) -> float:
+        return (
+            rate.per_s
+            * (1.0 + self.tolerance.excess_fraction * TOLERANCE_FRACTION)
+            * share
+        )
 
     def return_token(self, team: str) -> None:
-        """Return the token of an operation that reached no target."""
+        """Put back the token of an operation that reached no target."""
         bucket = self._bucket_by_team.get(team)
         if bucket is not None:
             bucket.tokens += 1.0
 
     def describe(self, team: str) -> str:
-        """Return the inputs of the last decision about a team."""
+        """Return the inputs of the team's last admission decision."""
         rate = self._rate_by_team.get(team)
         bucket = self._bucket_by_team.get(team)
         if rate is None or bucket is None:
             return f"team={team}"
         return (
             f"team={team} rate={rate.per_s:g}/s burst={rate.burst:g} "
-            f"part={self.part(team):.3f} demand={bucket.demand_per_s:.1f}/s "
-            f"silent={len(self._silent)} of {len(self._vms_by_source)}"
+            f"part={self.share(team):.3f} demand={bucket.demand_per_s:.1f}/s "
+            f"silent={len(self._unreachable)} of {len(self._vms_by_source)}"
         )
 
     def wait_s(self, team: str) -> float:
@@ -479,4 +507,4 @@
         if rate is None or bucket is None or rate.per_s <= 0:
             return 1.0
         missing = max(0.0, 1.0 - bucket.tokens)
-        return missing / max(0.1, self._refill_per_s(rate, self.part(team)))
+        return missing / max(0.1, self._refill_per_s(rate, self.share(team)))
--- a/packages/guavabarrow-core/tests/test_pooled_rate_limiter.py
+++ b/packages/guavabarrow-core/tests/test_pooled_rate_limiter.py
@@ -1,7 +1,8 @@
-"""Pools of tokens, under virtual time.
+"""Pooled rate limits, in virtual time.
 
-Load: 72 VMs in three failure domains, teams with small rates, callers spread over many
-VMs; then one team presses at all of them, VMs are lost or cut off, and hosts change.
+72 VMs in three failure domains serve teams with small rates and callers spread over
+many VMs. Then one team exceeds its rate at all VMs, VMs fail or are separated by
+network partitions, and pool hosts change.
 """
 
 from __future__ import annotations
@@ -19,111 +20,122 @@
 from guavabarrow_core.rate_limiter import RateLimit, RateTolerance
 
 TEAM = "north-team"
-TOLERANCE = RateTolerance(window_s=5.0, over=0.1, slack=20.0)
+TOLERANCE = RateTolerance(window_s=5.0, excess_fraction=0.1, slack=20.0)
 STEP_S = 0.01
-PULSE_S = 0.7
-CONTACT_S = 1.8
+HEARTBEAT_S = 0.7
+HEARTBEAT_TIMEOUT_S = 1.8
 DOMAINS = 3
 
 
 class Fleet:
-    """VMs that pool their parts, with a network that can be cut."""
+    """VMs that pool their shares, with a network that can be partitioned."""
 
     def __init__(self, size: int, rate: RateLimit) -> None:
         self.rate = rate
-        self.domain_of = {f"vm-{n:02}": f"domain-{n % DOMAINS}" for n in range(size)}
-        self.vms = {name: self.create(name) for name in self.domain_of}
+        self.domain_by_vm = {f"vm-{n:02}": f"domain-{n % DOMAINS}" for n in range(size)}
+        self.vms = {name: self.create(name) for name in self.domain_by_vm}
         self.admitted_at: list[float] = []
-        self.asked = 0
-        self.dead: set[str] = set()
-        self.side_of: dict[str, int] = {}
-        self.heard_at: dict[tuple[str, str], float] = {}
-        self.view_of: dict[str, PeerPoolState] = {}
+        self.requested = 0
+        self.failed: set[str] = set()
+        self.partition_by_vm: dict[str, int] = {}
+        self.received_at: dict[tuple[str, str], float] = {}
+        self.pool_state_by_vm: dict[str, PeerPoolState] = {}
 
     def create(self, name: str) -> PooledRateLimiter:
-        domain = self.domain_of[name]
+        domain = self.domain_by_vm[name]
         rates = PooledRateLimiter(name, domain, TOLERANCE)
         rates.configure({TEAM: self.rate})
-        sizes = Counter(self.domain_of.values())
+        sizes = Counter(self.domain_by_vm.values())
         del sizes[domain]
-        near = {vm for vm, other in self.domain_of.items() if other == domain}
-        rates.set_members(frozenset(near), dict(sizes))
+        domain_vms = {vm for vm, other in self.domain_by_vm.items() if other == domain}
+        rates.set_members(frozenset(domain_vms), dict(sizes))
         return rates
 
     def restart_all(self) -> None:
-        self.vms = {name: self.create(name) for name in self.domain_of}
-        self.heard_at.clear()
-        self.view_of.clear()
-
-    def cut(self, names: set[str], *, apart: bool = False) -> None:
-        """Separate VMs from the others, and from each other if ``apart``."""
-        sides = enumerate(sorted(names), start=1)
-        self.side_of = {name: number if apart else 1 for number, name in sides}
-
-    def reaches(self, one: str, other: str) -> bool:
-        sides = self.side_of.get(one, 0), self.side_of.get(other, 0)
-        return not {one, other} & self.dead and sides[0] == sides[1]
-
-    def near(self, name: str, now: float) -> list[str]:
-        domain = self.domain_of[name]
+        self.vms = {name: self.create(name) for name in self.domain_by_vm}
+        self.received_at.clear()
+        self.pool_state_by_vm.clear()
+
+    def partition(self, names: set[str], *, isolated: bool = False) -> None:
+        """Separate VMs from the others, and also from each other if ``isolated``."""
+        partitions = enumerate(sorted(names), start=1)
+        self.partition_by_vm = {
+            name: number if isolated else 1 for number, name in partitions
+        }
+
+    def can_reach(self, one: str, other: str) -> bool:
+        partitions = (
+            self.partition_by_vm.get(one, 0),
+            self.partition_by_vm.get(other, 0),
+        )
+        return not {one, other} & self.failed and partitions[0] == partitions[1]
+
+    def reachable_peers(self, name: str, now: float) -> list[str]:
+        domain = self.domain_by_vm[name]
         return [
             vm
-            for vm, other in self.domain_of.items()
+            for vm, other in self.domain_by_vm.items()
             if other == domain
             and vm != name
-            and self.heard_at.get((name, vm), -10.0) > now - CONTACT_S
+            and self.received_at.get((name, vm), -10.0) > now - HEARTBEAT_TIMEOUT_S
         ]
 
-    def pulse(self, now: float) -> None:
+    def exchange_heartbeats(self, now: float) -> None:
         for name, rates in self.vms.items():
-            if name in self.dead:
+            if name in self.failed:
                 continue
-            near = self.near(name, now)
-            views = {vm: self.view_of[vm] for vm in near}
-            first = min([*near, name])
-            rates.update_pool(first, views, now)
-            self.view_of[name] = PeerPoolState(rates.host, rates.pool is not None)
+            peers = self.reachable_peers(name, now)
+            states = {vm: self.pool_state_by_vm[vm] for vm in peers}
+            designated_host = min([*peers, name])
+            rates.update_pool(designated_host, states, now)
+            self.pool_state_by_vm[name] = PeerPoolState(
+                rates.host, rates.pool is not None
+            )
             demand = rates.local.publish_demand(now)
-            sums = rates.pool.publish_demand(now) if rates.pool is not None else None
+            domain_demand = (
+                rates.pool.publish_demand(now) if rates.pool is not None else None
+            )
             for other in self.vms:
-                if other == name or not self.reaches(name, other):
+                if other == name or not self.can_reach(name, other):
                     continue
-                self.heard_at[other, name] = now
-                if self.domain_of[other] == self.domain_of[name]:
+                self.received_at[other, name] = now
+                if self.domain_by_vm[other] == self.domain_by_vm[name]:
                     self.vms[other].local.update_peer_demand(name, demand, now)
-                elif sums is not None:
-                    domain = self.domain_of[name]
+                elif domain_demand is not None:
+                    domain = self.domain_by_vm[name]
                     self.vms[other].update_domain_demand(
-                        domain, sums, now, is_full=True
+                        domain, domain_demand, now, is_full=True
                     )
 
     def admit(self, name: str, now: float) -> bool:
         rates = self.vms[name]
-        verdict = rates.admit(TEAM, now)
-        if verdict is not AdmissionDecision.ASK_HOST:
-            return verdict is AdmissionDecision.ADMITTED
-        if not self.reaches(name, rates.host):
+        decision = rates.admit(TEAM, now)
+        if decision is not AdmissionDecision.ASK_HOST:
+            return decision is AdmissionDecision.ADMITTED
+        if not self.can_reach(name, rates.host):
             rates.on_host_unreachable(now)
             return False
         count = rates.tokens_to_request(TEAM, now)
         tokens = self.vms[rates.host].grant(TEAM, count, now)
         return rates.accept_grant(TEAM, tokens, now)
 
-    def play(self, rng, start: float, length_s: float, per_s: float, weights) -> None:
+    def simulate(
+        self, rng, start: float, duration_s: float, per_s: float, weights
+    ) -> None:
         names = list(self.vms)
-        for step in range(round(length_s / STEP_S)):
+        for step in range(round(duration_s / STEP_S)):
             now = start + step * STEP_S
-            if step % round(PULSE_S / STEP_S) == 0:
-                self.pulse(now)
+            if step % round(HEARTBEAT_S / STEP_S) == 0:
+                self.exchange_heartbeats(now)
             for _ in range(rng.poisson(per_s * STEP_S)):
                 name = rng.choice(names, p=weights)
-                if name in self.dead:
+                if name in self.failed:
                     continue
-                self.asked += 1
+                self.requested += 1
                 if self.admit(name, now):
                     self.admitted_at.append(now)
 
-    def most_in_a_window(self) -> int:
+    def max_per_window(self) -> int:
         times = np.array(self.admitted_at)
         ends = np.searchsorted(times, times + TOLERANCE.window_s, side="left")
         return int((ends - np.arange(len(times))).max())
@@ -131,7 +143,7 @@
     @property
     def allowed(self) -> float:
         counted = self.rate.per_s * TOLERANCE.window_s + self.rate.burst
-        return counted * (1 + TOLERANCE.over) + TOLERANCE.slack
+        return counted * (1 + TOLERANCE.excess_fraction) + TOLERANCE.slack
 
 
 def weights(rng, size: int, callers_at: int | None = None) -> np.ndarray:
@@ -148,15 +160,15 @@
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("per_s", RATES)
-def test_a_team_within_its_rate_is_hardly_ever_refused(seed, size, per_s):
+def test_a_team_within_its_rate_is_rarely_refused(seed, size, per_s):
     rng = np.random.default_rng(seed)
     fleet = Fleet(size, RateLimit(per_s, per_s))
     shares = weights(rng, size, callers_at=size // 3)
-    fleet.play(rng, 0.0, 6.0, per_s / 1.6, shares)
+    fleet.simulate(rng, 0.0, 6.0, per_s / 1.6, shares)
     fleet.admitted_at.clear()
-    fleet.asked = 0
-    fleet.play(rng, 6.0, 20.0, per_s / 1.6, shares)
-    assert len(fleet.admitted_at) >= 0.98 * fleet.asked
+    fleet.requested = 0
+    fleet.simulate(rng, 6.0, 20.0, per_s / 1.6, shares)
+    assert len(fleet.admitted_at) >= 0.98 * fleet.requested
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -165,109 +177,113 @@
 def test_the_rate_holds_when_a_team_sends_too_much(seed, size, per_s):
     rng = np.random.default_rng(seed)
     fleet = Fleet(size, RateLimit(per_s, per_s))
-    fleet.play(rng, 0.0, 8.0, per_s * 0.6, weights(rng, size))
-    fleet.play(rng, 8.0, 12.0, per_s * 7.5, weights(rng, size))
-    assert fleet.most_in_a_window() <= fleet.allowed
+    fleet.simulate(rng, 0.0, 8.0, per_s * 0.6, weights(rng, size))
+    fleet.simulate(rng, 8.0, 12.0, per_s * 7.5, weights(rng, size))
+    assert fleet.max_per_window() <= fleet.allowed
 
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("per_s", RATES)
-def test_the_rate_holds_when_all_vms_start_again(seed, size, per_s):
+def test_the_rate_holds_when_all_vms_restart(seed, size, per_s):
     rng = np.random.default_rng(seed)
     fleet = Fleet(size, RateLimit(per_s, per_s))
-    fleet.play(rng, 0.0, 8.0, per_s * 4, weights(rng, size))
+    fleet.simulate(rng, 0.0, 8.0, per_s * 4, weights(rng, size))
     fleet.restart_all()
-    fleet.play(rng, 8.7, 8.0, per_s * 4, weights(rng, size))
-    assert fleet.most_in_a_window() <= fleet.allowed
+    fleet.simulate(rng, 8.7, 8.0, per_s * 4, weights(rng, size))
+    assert fleet.max_per_window() <= fleet.allowed
 
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("per_s", RATES)
-@pytest.mark.parametrize("apart", [True, False])
-def test_the_rate_holds_while_hosts_and_others_are_cut_off(seed, size, per_s, apart):
+@pytest.mark.parametrize("isolated", [True, False])
+def test_the_rate_holds_while_hosts_and_other_vms_are_partitioned(
+    seed, size, per_s, isolated
+):
     rng = np.random.default_rng(seed)
     fleet = Fleet(size, RateLimit(per_s, per_s))
-    fleet.play(rng, 0.0, 8.0, per_s, weights(rng, size))
+    fleet.simulate(rng, 0.0, 8.0, per_s, weights(rng, size))
     names = sorted(fleet.vms)
-    fleet.cut({names[0], names[1], *names[size // 2 :: 7]}, apart=apart)
-    fleet.play(rng, 8.0, 8.0, per_s * 6, weights(rng, size))
-    fleet.cut(set())
-    fleet.play(rng, 16.0, 8.0, per_s * 6, weights(rng, size))
-    assert fleet.most_in_a_window() <= fleet.allowed
+    fleet.partition({names[0], names[1], *names[size // 2 :: 7]}, isolated=isolated)
+    fleet.simulate(rng, 8.0, 8.0, per_s * 6, weights(rng, size))
+    fleet.partition(set())
+    fleet.simulate(rng, 16.0, 8.0, per_s * 6, weights(rng, size))
+    assert fleet.max_per_window() <= fleet.allowed
 
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("per_s", RATES)
-def test_the_rate_holds_while_a_domain_is_cut_off_and_both_sides_serve(
+def test_the_rate_holds_while_a_domain_is_partitioned_and_both_sides_serve(
     seed, size, per_s
 ):
     rng = np.random.default_rng(seed)
     fleet = Fleet(size, RateLimit(per_s, per_s))
     shares = weights(rng, size)
-    fleet.play(rng, 0.0, 8.0, per_s / 1.6, shares)
-    fleet.cut({vm for vm, domain in fleet.domain_of.items() if domain == "domain-1"})
+    fleet.simulate(rng, 0.0, 8.0, per_s / 1.6, shares)
+    fleet.partition(
+        {vm for vm, domain in fleet.domain_by_vm.items() if domain == "domain-1"}
+    )
     fleet.admitted_at.clear()
-    fleet.asked = 0
-    fleet.play(rng, 8.0, 8.0, per_s / 1.6, shares)
-    assert len(fleet.admitted_at) >= 0.9 * fleet.asked
-    fleet.play(rng, 16.0, 8.0, per_s * 6, shares)
-    assert fleet.most_in_a_window() <= fleet.allowed
+    fleet.requested = 0
+    fleet.simulate(rng, 8.0, 8.0, per_s / 1.6, shares)
+    assert len(fleet.admitted_at) >= 0.9 * fleet.requested
+    fleet.simulate(rng, 16.0, 8.0, per_s * 6, shares)
+    assert fleet.max_per_window() <= fleet.allowed
 
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("size", SIZES)
-def test_the_loss_of_a_host_costs_its_domain_little(seed, size):
-    """Silent loss: the other VMs only learn of it from missing answers.
+def test_the_failure_of_a_host_affects_few_operations(seed, size):
+    """The host fails without notice; the others detect it by missing answers.
 
-    A third of the callers without service for 1.8 s until the contact ends and 0.7 s
-    until all agree on another host is a tenth of 8 s; the bound is twice that.
+    A third of the callers is refused for 1.8 s until the heartbeat timeout and for
+    0.7 s until all VMs use another host, a tenth of 8 s; the bound is twice that.
     """
     rng = np.random.default_rng(seed)
     fleet = Fleet(size, RateLimit(126.0, 126.0))
     shares = weights(rng, size)
-    fleet.play(rng, 0.0, 8.0, 126 / 1.6, shares)
-    fleet.dead = {"vm-00"}
+    fleet.simulate(rng, 0.0, 8.0, 126 / 1.6, shares)
+    fleet.failed = {"vm-00"}
     fleet.admitted_at.clear()
-    fleet.asked = 0
-    fleet.play(rng, 8.0, 8.0, 126 / 1.6, shares)
-    assert len(fleet.admitted_at) >= 0.8 * fleet.asked
+    fleet.requested = 0
+    fleet.simulate(rng, 8.0, 8.0, 126 / 1.6, shares)
+    assert len(fleet.admitted_at) >= 0.8 * fleet.requested
 
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("size", SIZES)
-def test_callers_are_admitted_soon_after_all_vms_started_again(seed, size):
-    """Seen on a played day: VMs that opened a pool too soon lost all their tokens.
+def test_callers_are_admitted_soon_after_all_vms_restarted(seed, size):
+    """A team sends at its usual rate while all VMs restart after a power loss.
 
-    Load: a team at its usual pace while all VMs return from a loss of power. A new
-    lifetime has the tokens of a second; the pools open with the second pulse.
+    In a simulated day, VMs that opened a pool too early lost all their tokens. A new
+    process has the tokens of one second; the pools open with the second heartbeat.
     """
     rng = np.random.default_rng(seed)
     fleet = Fleet(size, RateLimit(126.0, 126.0))
     shares = weights(rng, size)
-    fleet.play(rng, 0.0, 8.0, 126 / 1.6, shares)
+    fleet.simulate(rng, 0.0, 8.0, 126 / 1.6, shares)
     fleet.restart_all()
     fleet.admitted_at.clear()
-    fleet.asked = 0
-    fleet.play(rng, 9.0, 4.0, 126 / 1.6, shares)
-    assert len(fleet.admitted_at) >= 0.9 * fleet.asked
+    fleet.requested = 0
+    fleet.simulate(rng, 9.0, 4.0, 126 / 1.6, shares)
+    assert len(fleet.admitted_at) >= 0.9 * fleet.requested
 
 
-def test_tokens_that_a_vm_had_alone_go_along_into_the_pool():
-    host, guest = (PooledRateLimiter(f"vm-{n}", "north", TOLERANCE) for n in (0, 1))
-    for rates in (host, guest):
+def test_local_tokens_are_moved_into_the_pool():
+    host, peer = (PooledRateLimiter(f"vm-{n}", "north", TOLERANCE) for n in (0, 1))
+    for rates in (host, peer):
         rates.configure({TEAM: RateLimit(20.0, 20.0)})
         rates.set_members(frozenset({"vm-0", "vm-1"}), {})
         assert rates.admit(TEAM, 0.0) is AdmissionDecision.ADMITTED
     host.update_pool("vm-0", {"vm-1": PeerPoolState("vm-0", False)}, 0.1)
-    guest.update_pool("vm-0", {"vm-0": PeerPoolState("vm-0", True)}, 0.1)
+    peer.update_pool("vm-0", {"vm-0": PeerPoolState("vm-0", True)}, 0.1)
     assert host.admit(TEAM, 0.1) is AdmissionDecision.ADMITTED
-    assert guest.admit(TEAM, 0.1) is AdmissionDecision.ADMITTED
+    assert peer.admit(TEAM, 0.1) is AdmissionDecision.ADMITTED
 
 
-def test_a_host_does_not_open_before_the_others_left_the_former_one():
+def test_a_host_opens_no_pool_before_the_others_left_the_previous_one():
     rates = PooledRateLimiter("vm-1", "north", TOLERANCE)
     rates.configure({TEAM: RateLimit(10.0, 10.0)})
     rates.set_members(frozenset({"vm-0", "vm-1", "vm-2"}), {})
@@ -277,7 +293,7 @@
     assert rates.pool is not None
 
 
-def test_a_vm_without_contact_to_its_domain_opens_no_pool():
+def test_a_vm_isolated_from_its_domain_opens_no_pool():
     rates = PooledRateLimiter("vm-0", "north", TOLERANCE)
     rates.configure({TEAM: RateLimit(10.0, 10.0)})
     rates.set_members(frozenset({"vm-0", "vm-1"}), {})
@@ -286,13 +302,13 @@
     assert rates.admit(TEAM, 0.0) is not AdmissionDecision.ASK_HOST
 
 
-def test_a_host_that_was_suspended_gives_nothing_from_its_old_pool():
+def test_a_host_that_was_suspended_grants_nothing_from_its_old_pool():
     rates = PooledRateLimiter("vm-0", "north", TOLERANCE)
     rates.configure({TEAM: RateLimit(100.0, 100.0)})
     rates.set_members(frozenset({"vm-0", "vm-1"}), {})
-    view = {"vm-1": PeerPoolState("vm-0", False)}
-    rates.update_pool("vm-0", view, 0.0)
-    rates.update_pool("vm-0", view, 1.0)
+    peer_states = {"vm-1": PeerPoolState("vm-0", False)}
+    rates.update_pool("vm-0", peer_states, 0.0)
+    rates.update_pool("vm-0", peer_states, 1.0)
     assert rates.grant(TEAM, 5, 1.5) == 5
     assert rates.grant(TEAM, 5, 6.0) == 0
     assert rates.admit(TEAM, 6.0) is AdmissionDecision.REFUSED
@@ -303,7 +319,7 @@
     assert rates.admit("another", 0.0) is AdmissionDecision.ADMITTED
 
 
-def test_tokens_that_were_not_used_in_time_are_dropped():
+def test_prefetched_tokens_expire():
     rates = PooledRateLimiter("vm-1", "north", TOLERANCE)
     rates.configure({TEAM: RateLimit(10.0, 10.0)})
     rates.set_members(frozenset({"vm-0", "vm-1"}), {})
--- a/packages/guavabarrow-core/tests/test_rate_limiter.py
+++ b/packages/guavabarrow-core/tests/test_rate_limiter.py
@@ -1,7 +1,6 @@
-"""Rates over all VMs, under virtual time.
+"""Rate limits over all VMs, in virtual time.
 
-Load: callers are spread unevenly over nine VMs, and one team sends several times its
-rate.
+Callers are spread unevenly over nine VMs, and one team sends several times its rate.
 """
 
 from __future__ import annotations
@@ -16,20 +15,20 @@
 )
 
 TEAM = "north-team"
-TOLERANCE = RateTolerance(window_s=5.0, over=0.1, slack=20.0)
+TOLERANCE = RateTolerance(window_s=5.0, excess_fraction=0.1, slack=20.0)
 STEP_S = 0.01
-GOSSIP_S = 0.7
+HEARTBEAT_S = 0.7
 
 
 class Fleet:
-    """VMs that admit operations and tell each other their demand."""
+    """VMs that admit operations and publish their demand to each other."""
 
     def __init__(self, size: int, rate: RateLimit) -> None:
         self.vms = {f"vm-{n}": self.create(f"vm-{n}", rate) for n in range(size)}
         self.rate = rate
         self.admitted_at: list[float] = []
-        self.asked = 0
-        self.cut: set[str] = set()
+        self.requested = 0
+        self.isolated: set[str] = set()
         for vm in self.vms.values():
             vm.set_members(frozenset(self.vms))
 
@@ -43,26 +42,28 @@
         self.vms[name] = self.create(name, self.rate)
         self.vms[name].set_members(frozenset(self.vms))
 
-    def play(self, rng, start: float, length_s: float, per_s: float, weights) -> None:
+    def simulate(
+        self, rng, start: float, duration_s: float, per_s: float, weights
+    ) -> None:
         names = list(self.vms)
-        steps = round(length_s / STEP_S)
+        steps = round(duration_s / STEP_S)
         for step in range(steps):
             now = start + step * STEP_S
-            if step % round(GOSSIP_S / STEP_S) == 0:
-                self.gossip(now)
+            if step % round(HEARTBEAT_S / STEP_S) == 0:
+                self.exchange_demand(now)
             for _ in range(rng.poisson(per_s * STEP_S)):
-                self.asked += 1
+                self.requested += 1
                 if self.vms[rng.choice(names, p=weights)].admit(TEAM, now):
                     self.admitted_at.append(now)
 
-    def gossip(self, now: float) -> None:
+    def exchange_demand(self, now: float) -> None:
         for name, vm in self.vms.items():
             demand = vm.publish_demand(now)
             for other, receiver in self.vms.items():
-                if other != name and not {name, other} & self.cut:
+                if other != name and not {name, other} & self.isolated:
                     receiver.update_peer_demand(name, demand, now)
 
-    def most_in_a_window(self) -> int:
+    def max_per_window(self) -> int:
         times = np.array(self.admitted_at)
         ends = np.searchsorted(times, times + TOLERANCE.window_s, side="left")
         return int((ends - np.arange(len(times))).max())
@@ -70,7 +71,7 @@
     @property
     def allowed(self) -> float:
         counted = self.rate.per_s * TOLERANCE.window_s + self.rate.burst
-        return counted * (1 + TOLERANCE.over) + TOLERANCE.slack
+        return counted * (1 + TOLERANCE.excess_fraction) + TOLERANCE.slack
 
 
 def weights(rng, size: int) -> np.ndarray:
@@ -83,66 +84,66 @@
 def test_all_vms_together_stay_within_the_rate_when_a_team_sends_too_much(seed, per_s):
     rng = np.random.default_rng(seed)
     fleet = Fleet(9, RateLimit(per_s, per_s))
-    fleet.play(rng, 0.0, 20.0, per_s * 7.5, weights(rng, 9))
-    assert fleet.most_in_a_window() <= fleet.allowed
+    fleet.simulate(rng, 0.0, 20.0, per_s * 7.5, weights(rng, 9))
+    assert fleet.max_per_window() <= fleet.allowed
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_the_rate_holds_when_all_vms_are_killed_and_start_again(seed):
+def test_the_rate_holds_when_all_vms_are_killed_and_restarted(seed):
     rng = np.random.default_rng(seed)
     fleet = Fleet(9, RateLimit(59.0, 59.0))
     shares = weights(rng, 9)
-    fleet.play(rng, 0.0, 10.0, 400.0, shares)
+    fleet.simulate(rng, 0.0, 10.0, 400.0, shares)
     for name in list(fleet.vms):
         fleet.restart(name)
-    fleet.play(rng, 10.7, 10.0, 400.0, shares)
-    assert fleet.most_in_a_window() <= fleet.allowed
+    fleet.simulate(rng, 10.7, 10.0, 400.0, shares)
+    assert fleet.max_per_window() <= fleet.allowed
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_the_rate_holds_while_vms_are_cut_off_from_the_others(seed):
+def test_the_rate_holds_while_vms_are_isolated_from_the_others(seed):
     rng = np.random.default_rng(seed)
     fleet = Fleet(9, RateLimit(59.0, 59.0))
-    fleet.play(rng, 0.0, 6.0, 60.0, weights(rng, 9))
-    fleet.cut = {"vm-0", "vm-1", "vm-2"}
-    fleet.play(rng, 6.0, 12.0, 400.0, weights(rng, 9))
-    assert fleet.most_in_a_window() <= fleet.allowed
+    fleet.simulate(rng, 0.0, 6.0, 60.0, weights(rng, 9))
+    fleet.isolated = {"vm-0", "vm-1", "vm-2"}
+    fleet.simulate(rng, 6.0, 12.0, 400.0, weights(rng, 9))
+    assert fleet.max_per_window() <= fleet.allowed
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_team_within_its_rate_is_hardly_ever_refused(seed):
-    """Equal parts refuse a tenth and more of this load."""
+def test_a_team_within_its_rate_is_rarely_refused(seed):
+    """Equal shares would refuse a tenth and more of this load."""
     rng = np.random.default_rng(seed)
     fleet = Fleet(9, RateLimit(59.0, 59.0))
     shares = weights(rng, 9)
-    fleet.play(rng, 0.0, 30.0, 59.0 / 1.6, shares)
-    refused = fleet.asked - len(fleet.admitted_at)
-    assert refused <= 0.02 * fleet.asked
+    fleet.simulate(rng, 0.0, 30.0, 59.0 / 1.6, shares)
+    refused = fleet.requested - len(fleet.admitted_at)
+    assert refused <= 0.02 * fleet.requested
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("per_s", [12.0, 126.0])
 def test_a_large_fleet_stays_within_the_rate_when_a_team_sends_too_much(seed, per_s):
-    """Load: one team presses at 72 VMs at once; two tokens at each were too many."""
+    """One team exceeds its rate at 72 VMs at once; two tokens per VM were too many."""
     rng = np.random.default_rng(seed)
     fleet = Fleet(72, RateLimit(per_s, per_s))
     shares = weights(rng, 72)
-    fleet.play(rng, 0.0, 8.0, per_s * 0.6, shares)
-    fleet.play(rng, 8.0, 12.0, per_s * 7.5, shares)
-    assert fleet.most_in_a_window() <= fleet.allowed
+    fleet.simulate(rng, 0.0, 8.0, per_s * 0.6, shares)
+    fleet.simulate(rng, 8.0, 12.0, per_s * 7.5, shares)
+    assert fleet.max_per_window() <= fleet.allowed
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("per_s", [5.0, 12.0])
 def test_the_first_tokens_of_a_large_fleet_stay_within_the_rate(seed, per_s):
-    """Load: a small team turns up at 72 VMs at once, where it was never seen."""
+    """A small team without earlier demand sends to 72 VMs at once."""
     rng = np.random.default_rng(seed)
     fleet = Fleet(72, RateLimit(per_s, per_s))
-    fleet.play(rng, 0.0, 8.0, 400.0, weights(rng, 72))
-    assert fleet.most_in_a_window() <= fleet.allowed
+    fleet.simulate(rng, 0.0, 8.0, 400.0, weights(rng, 72))
+    assert fleet.max_per_window() <= fleet.allowed
 
 
-def test_a_token_that_was_not_used_comes_back():
+def test_a_returned_token_can_be_used_again():
     rates = RateLimiter("a")
     rates.configure({TEAM: RateLimit(1.0, 1.0)})
     while rates.admit(TEAM, 0.0):
@@ -151,7 +152,7 @@
     assert rates.admit(TEAM, 0.0)
 
 
-def test_a_lower_rate_binds_from_the_next_operation():
+def test_a_lower_rate_applies_from_the_next_operation():
     rates = RateLimiter("a")
     rates.configure({TEAM: RateLimit(100.0, 100.0)})
     rates.admit(TEAM, 0.0)
@@ -160,51 +161,51 @@
     assert admitted <= 2
 
 
-def test_demand_that_others_have_not_heard_of_does_not_widen_a_part():
+def test_demand_that_others_have_not_received_does_not_increase_a_share():
     rates = RateLimiter("a")
     rates.configure({TEAM: RateLimit(100.0, 100.0)})
     rates.set_members(frozenset({"a", "b"}))
-    for pulse in range(3):
-        now = float(pulse)
+    for step in range(3):
+        now = float(step)
         rates.admit(TEAM, now)
         rates.update_peer_demand("b", {TEAM: 10.0}, now)
         rates.publish_demand(now)
-    agreed_part = rates.part(TEAM)
+    confirmed_share = rates.share(TEAM)
     for _ in range(200):
         rates.admit(TEAM, 3.0)
-    # From here on nothing reaches the other VM, and nothing of it arrives.
+    # From here on the two VMs receive nothing from each other.
     rates.publish_demand(3.0)
     rates.publish_demand(4.0)
-    assert rates.part(TEAM) <= agreed_part + 0.01
+    assert rates.share(TEAM) <= confirmed_share + 0.01
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_dead_vm_costs_the_others_no_more_than_its_own_part(seed):
-    """Load: one VM is gone for good, then all others are killed and start again.
+def test_a_failed_vm_reduces_admissions_by_no_more_than_its_share(seed):
+    """One VM fails permanently, then all others are killed and restarted.
 
-    Seen on a played day: parts froze at the figures of the new lifetimes' first
-    moment, and half of all operations were refused for 28 s.
+    In a simulated day, the shares stayed at the values computed right after the
+    restart, and half of all operations were refused for 28 s.
     """
     rng = np.random.default_rng(seed)
     fleet = Fleet(9, RateLimit(59.0, 59.0))
     shares = weights(rng, 9)
-    fleet.play(rng, 0.0, 6.0, 59.0 / 1.6, shares)
-    fleet.cut = {"vm-0"}
+    fleet.simulate(rng, 0.0, 6.0, 59.0 / 1.6, shares)
+    fleet.isolated = {"vm-0"}
     shares[0] = 0.0
     shares /= shares.sum()
     for name in list(fleet.vms)[1:]:
         fleet.restart(name)
     fleet.admitted_at.clear()
-    fleet.asked = 0
-    fleet.play(rng, 7.0, 10.0, 59.0 / 1.6, shares)
-    assert len(fleet.admitted_at) >= 0.95 * fleet.asked
+    fleet.requested = 0
+    fleet.simulate(rng, 7.0, 10.0, 59.0 / 1.6, shares)
+    assert len(fleet.admitted_at) >= 0.95 * fleet.requested
 
 
-def test_a_part_follows_demand_although_pulses_come_at_other_times():
-    """Load: extra pulses between regular ones, as during many changes.
+def test_a_share_follows_demand_when_heartbeats_are_irregular():
+    """Extra heartbeats are sent between the regular ones, as during many changes.
 
-    Seen on a played day: what was told last was never older than what was heard, so
-    that a VM with nearly all callers kept a part of 0.002.
+    In a simulated day, the demand published last was never older than the demand
+    received, so that a VM with nearly all callers stayed at a share of 0.002.
     """
     rates = RateLimiter("a")
     rates.configure({TEAM: RateLimit(100.0, 100.0)})
@@ -218,4 +219,4 @@
         if step % 7 == 3:
             rates.update_peer_demand("c", {TEAM: 1.0}, now)
         rates.publish_demand(now + 0.05)
-    assert rates.part(TEAM) > 0.8
+    assert rates.share(TEAM) > 0.8
