--- a/packages/guavabarrow-core/src/guavabarrow_core/lease.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/lease.py
@@ -1,8 +1,8 @@
-"""A lease in the platform's table service, counted on monotonic clocks.
+"""A lease in the platform's table service, timed with monotonic clocks.
 
-No clock is compared with another VM's. The holder counts from the moment before it
-asked for the renewal; a successor counts from the moment after it saw the last
-change of the row. The successor therefore always waits longer than the holder acts.
+Clocks of different VMs are never compared. The holder measures its lease from before it
+sent the renewal; a successor measures from after it read the last change of the row.
+The successor therefore always waits until after the holder's lease has expired.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 RENEW_S = 0.5
 CLOCK_MARGIN_S = 0.2
 MAX_TICK_GAP_S = 0.6
-STORELESS_TAKEOVER_S = 3.0
+TAKEOVER_WITHOUT_STORE_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,9 +25,9 @@
     holder : str
         VM that holds the lease, empty if released.
     epoch : int
-        Advances with every change of holder.
+        Incremented with every change of holder.
     renewal : int
-        Advances with every renewal.
+        Incremented with every renewal.
     revision : int
         Version of the row for conditional writes, 0 if it does not exist.
     """
@@ -45,16 +45,16 @@
     Parameters
     ----------
     row : LeaseRow
-        Row as it is now.
-    asked_at : float
+        Current row.
+    sent_at : float
         Monotonic time before the operation was sent.
     written : bool
-        Whether this operation wrote the row. Only then is ``asked_at`` earlier than
-        the moment at which a successor can have seen it.
+        Whether this operation wrote the row. Only then is ``sent_at`` earlier than
+        the first time at which a successor can have read it.
     """
 
     row: LeaseRow
-    asked_at: float
+    sent_at: float
     written: bool = False
 
 
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class Claim:
-    """A heartbeat in which a VM says that it holds the lease."""
+    """Statement in a VM's heartbeat that it holds the lease."""
 
     epoch: int
     vm: str
@@ -73,20 +73,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTick:
-    """Time has passed.
+    """Periodic event with the state of the other VMs.
 
     Parameters
     ----------
     is_candidate : bool
-        Whether this VM should hold the lease if nobody does.
+        Whether this VM should acquire the lease if it has no holder.
     is_preferred : bool
-        Whether it is the first choice among the live VMs.
+        Whether it is the preferred successor among the live VMs.
     holder_unreachable : bool
-        Whether no live VM claims the lease and the holder of the row is silent.
+        Whether no live VM claims the lease and the row's holder sends no heartbeats.
     max_heartbeat_epoch : int
-        Highest epoch that heartbeats mention.
+        Highest epoch in the heartbeats of the domain.
     rival_claim : Claim or None
-        Newest claim of another live VM.
+        Claim of another live VM with the highest epoch.
     """
 
     is_candidate: bool
@@ -115,12 +115,12 @@
 class Lease:
     """State machine of one lease at one VM.
 
-    While the table service is down the holder goes on as long as it was never
-    paused. If the holder falls silent too, the first choice among the live VMs takes
-    over without the row and claims a higher epoch in its heartbeats. That is safe
-    because partitions separate failure domains and a lease is contested only inside
-    one: a VM that hears a claim never takes over, and a VM that resumes from a pause
-    hears the newer claim before it acts.
+    While the table service is unavailable, the holder keeps the lease unless it was
+    paused. If the holder's heartbeats stop too, the preferred live VM takes over
+    without writing the row and claims a higher epoch in its heartbeats. This is safe
+    because network partitions separate failure domains and only VMs of one domain
+    compete for a lease: a VM that receives a claim never takes over, and a VM that
+    resumes from a pause receives the newer claim before it acts as the holder again.
 
     Parameters
     ----------
@@ -130,8 +130,8 @@
     Attributes
     ----------
     is_initial_holder : bool
-        Whether this process created the row and was never paused since, so that
-        no earlier holder can have granted anything.
+        Whether this process created the row and was not paused since, so that no
+        earlier holder can have granted anything.
     """
 
     def __init__(self, vm: str) -> None:
@@ -139,7 +139,7 @@
         self.row = LeaseRow()
         self._row_changed_at: float | None = None
         self._valid_until = float("-inf")
-        self._asked_at = float("-inf")
+        self._sent_at = float("-inf")
         self._pending = False
         self._store_down_since: float | None = None
         self._suspended_until = float("-inf")
@@ -148,7 +148,7 @@
         self.is_initial_holder = False
 
     def holds(self, now: float) -> bool:
-        """Tell whether this VM may act as the holder at ``now``."""
+        """Return whether this VM may act as the holder at ``now``."""
         if self.row.holder != self._vm or self._superseded:
             return False
         if self._ticked_at is None or now - self._ticked_at > MAX_TICK_GAP_S:
@@ -159,23 +159,23 @@
 
     @property
     def epoch(self) -> int:
-        """Epoch of the lease as last read."""
+        """Epoch of the last row that was read."""
         return self.row.epoch
 
     def step(self, event: LeaseEvent, now: float) -> list[LeaseAction]:
-        """Take one event.
+        """Process one event.
 
         Parameters
         ----------
         event : LeaseEvent
-            What happened.
+            Tick or result of a store operation.
         now : float
             Monotonic time.
 
         Returns
         -------
         list of LeaseAction
-            At most one store operation is outstanding.
+            Store operations to perform; at most one is in progress at a time.
         """
         match event:
             case RowRead():
@@ -190,7 +190,7 @@
                 return self._on_tick(event, now)
 
     def release(self, now: float) -> list[LeaseAction]:
-        """Give the lease up, so that a successor need not wait."""
+        """Release the lease, so that a successor needs not wait until it expires."""
         if not self.holds(now):
             return []
         released = LeaseRow("", self.row.epoch, self.row.renewal, self.row.revision)
@@ -212,33 +212,33 @@
             self._superseded = False
             if event.row.epoch == 1 and event.row.renewal == 0:
                 self.is_initial_holder = True
-            self._valid_until = max(self._valid_until, event.asked_at + LEASE_S)
+            self._valid_until = max(self._valid_until, event.sent_at + LEASE_S)
 
     def _on_tick(self, event: LeaseTick, now: float) -> list[LeaseAction]:
-        self._notice_pause(now)
-        own = Claim(self.row.epoch, self._vm)
+        self._detect_pause(now)
+        own_claim = Claim(self.row.epoch, self._vm)
         if (
             self.row.holder == self._vm
             and event.rival_claim
-            and event.rival_claim > own
+            and event.rival_claim > own_claim
         ):
             self._superseded = True
-        if self._may_take_over_storeless(event, now):
-            self._take_over_storeless(event, now)
-        if self._pending or now - self._asked_at < RENEW_S:
+        if self._may_take_over_without_store(event, now):
+            self._take_over_without_store(event, now)
+        if self._pending or now - self._sent_at < RENEW_S:
             return []
-        self._asked_at = now
+        self._sent_at = now
         self._pending = True
         if self.row.holder == self._vm and not self._superseded:
-            return [WriteRow(self._renewed())]
+            return [WriteRow(self._renewed_row())]
         if event.is_candidate and self._may_take_over(event, now):
-            return [WriteRow(self._taken_over(event.max_heartbeat_epoch))]
+            return [WriteRow(self._takeover_row(event.max_heartbeat_epoch))]
         if event.is_candidate:
             return [ReadRow()]
         self._pending = False
         return []
 
-    def _notice_pause(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         paused = self._ticked_at is not None and now - self._ticked_at > MAX_TICK_GAP_S
         if paused:
             self._suspended_until = now + LEASE_S
@@ -257,25 +257,25 @@
         unchanged_s = now - self._row_changed_at
         return event.holder_unreachable and unchanged_s >= LEASE_S + CLOCK_MARGIN_S
 
-    def _renewed(self) -> LeaseRow:
+    def _renewed_row(self) -> LeaseRow:
         return LeaseRow(
             self._vm, self.row.epoch, self.row.renewal + 1, self.row.revision
         )
 
-    def _taken_over(self, max_heartbeat_epoch: int) -> LeaseRow:
+    def _takeover_row(self, max_heartbeat_epoch: int) -> LeaseRow:
         epoch = max(self.row.epoch, max_heartbeat_epoch) + 1
         return LeaseRow(self._vm, epoch, 0, self.row.revision)
 
-    def _may_take_over_storeless(self, event: LeaseTick, now: float) -> bool:
+    def _may_take_over_without_store(self, event: LeaseTick, now: float) -> bool:
         if self._store_down_since is None or self.holds(now):
             return False
-        waited_s = now - self._store_down_since
+        store_down_s = now - self._store_down_since
         is_eligible = (
             event.is_candidate and event.is_preferred and event.holder_unreachable
         )
-        return is_eligible and waited_s >= STORELESS_TAKEOVER_S
+        return is_eligible and store_down_s >= TAKEOVER_WITHOUT_STORE_S
 
-    def _take_over_storeless(self, event: LeaseTick, now: float) -> None:
-        self.row = self._taken_over(event.max_heartbeat_epoch)
+    def _take_over_without_store(self, event: LeaseTick, now: float) -> None:
+        self.row = self._takeover_row(event.max_heartbeat_epoch)
         self._superseded = False
         self._suspended_until = now
--- a/packages/guavabarrow-core/src/guavabarrow_core/permits.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/permits.py
@@ -1,7 +1,7 @@
-"""Connection permits of one target, kept by the ledger holder of its domain.
+"""Connection permits of one target, managed by the ledger holder of its domain.
 
-A failure domain that cannot reach the holder cannot reach the target either, so the
-whole budget is kept in one place. The database's own limit remains the last check.
+A failure domain that cannot reach the holder cannot reach the target either, so one VM
+manages the whole budget. The database's own connection limit remains the last check.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitGrant:
-    """Permits that a VM holds from now on.
+    """Result of a renewal.
 
     Parameters
     ----------
     total : int
-        Permits held.
+        Permits that the VM holds now.
     recall : int
-        Permits that other VMs wait for and this VM should give back when idle.
+        Permits that the VM should return when idle, because other VMs wait for them.
     """
 
     total: int
@@ -39,21 +39,21 @@
 
 @dataclass(slots=True)
 class PermitTable:
-    """The holder's record of one target.
+    """Permits of one target by VM.
 
     Parameters
     ----------
     budget : int
         Connections that the target accepts.
-    opened_at : float
+    created_at : float
         Monotonic time of creation. For ``REGISTRATION_S`` only permits that VMs
-        already hold are confirmed, since the predecessor may have granted all. A VM
-        that is paused meanwhile may come back with more than is left; the database
-        then refuses its next connection.
+        already hold are confirmed, since the previous ledger holder may have granted
+        all. A VM that is paused during this time may resume with more permits than are
+        free; the database then refuses its next connection.
 
     Examples
     --------
-    >>> table = PermitTable(budget=3, opened_at=-10.0)
+    >>> table = PermitTable(budget=3, created_at=-10.0)
     >>> table.renew("a", held=0, wanted=3, now=0.0).total
     3
     >>> table.renew("b", held=0, wanted=1, now=0.0).total
@@ -63,18 +63,18 @@
     """
 
     budget: int
-    opened_at: float
+    created_at: float
     holding_by_vm: dict[str, Holding] = field(default_factory=dict)
 
     def renew(self, vm: str, *, held: int, wanted: int, now: float) -> PermitGrant:
-        """Confirm what a VM holds and grant what is free.
+        """Confirm a VM's permits and grant free ones.
 
         Parameters
         ----------
         vm : str
-            Holder of the permits.
+            VM that holds the permits.
         held : int
-            Permits it holds; fewer than known gives the rest back.
+            Permits it holds; if fewer than recorded, the others are released.
         wanted : int
             Permits it can use now.
         now : float
@@ -83,17 +83,17 @@
         Returns
         -------
         PermitGrant
-            What it holds from now on.
+            Permits that the VM holds now and should return.
         """
         self._expire(now)
-        known = self.holding_by_vm.pop(vm, None)
+        previous = self.holding_by_vm.pop(vm, None)
         confirmed = held
-        if known is not None and now >= self.opened_at + REGISTRATION_S:
-            confirmed = min(held, known.total)
-        elif known is None and now >= self.opened_at + REGISTRATION_S:
+        if previous is not None and now >= self.created_at + REGISTRATION_S:
+            confirmed = min(held, previous.total)
+        elif previous is None and now >= self.created_at + REGISTRATION_S:
             confirmed = min(held, self.free)
         total = confirmed
-        if wanted > confirmed and now >= self.opened_at + REGISTRATION_S:
+        if wanted > confirmed and now >= self.created_at + REGISTRATION_S:
             total += max(0, min(wanted - confirmed, self.free - confirmed))
         holding = Holding(total, wanted, now + PERMIT_TTL_S)
         self.holding_by_vm[vm] = holding
@@ -101,28 +101,28 @@
 
     @property
     def free(self) -> int:
-        """Permits that nobody holds."""
+        """Permits that no VM holds."""
         return self.budget - sum(
             holding.total for holding in self.holding_by_vm.values()
         )
 
     def _recall(self, vm: str, holding: Holding) -> int:
-        missing = sum(
+        unmet = sum(
             max(0, other.wanted - other.total)
             for name, other in self.holding_by_vm.items()
             if name != vm
         )
-        fair = max(1, self.budget // max(1, self._wanting()))
-        return max(0, min(missing, holding.total - fair))
+        fair_share = max(1, self.budget // max(1, self._count_requesting()))
+        return max(0, min(unmet, holding.total - fair_share))
 
-    def _wanting(self) -> int:
+    def _count_requesting(self) -> int:
         return sum(1 for holding in self.holding_by_vm.values() if holding.wanted > 0)
 
     def _expire(self, now: float) -> None:
-        gone = [
+        expired = [
             vm
             for vm, holding in self.holding_by_vm.items()
             if holding.expires_at <= now
         ]
-        for vm in gone:
+        for vm in expired:
             del self.holding_by_vm[vm]
--- a/packages/guavabarrow-core/src/guavabarrow_core/token_lending.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/token_lending.py
@@ -1,9 +1,9 @@
-"""Whole-fleet rates: a domain ledger lends tokens that VMs spend.
+"""Fleet-wide rate limits: the ledger of a failure domain lends tokens to its VMs.
 
 A team's rate and burst are split over the failure domains. In each domain the
 holder of the ledger lease keeps one token bucket per team and grants tokens to VMs
-on demand. Tokens that are out count against the burst, so at no moment are there
-more tokens anywhere than the burst, and no more are created than the rate.
+on request. Lent tokens count against the burst, so that buckets and VMs together never
+hold more tokens than the burst, and no more are created than the rate allows.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 PREFETCH_S = 0.1
 DEMAND_SMOOTHING_S = 0.5
 LEND_RESERVE_S = 0.5
-ROUNDING = 1e-9
+ROUNDING_ERROR = 1e-9
 RETURN_GRACE_S = 1.0
 
 
@@ -27,9 +27,9 @@
     tokens : float
         Number of tokens, possibly 0.
     ttl_s : float
-        Seconds after the request was sent during which they may be spent.
+        Seconds during which they may be spent, counted from sending the request.
     retry_after_s : float
-        Seconds until more tokens can be expected if fewer were granted than asked.
+        Seconds until the missing tokens are created if fewer than wanted were granted.
     """
 
     tokens: float
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Loan:
-    """Tokens that a VM may still spend."""
+    """Lent tokens that a VM may still spend."""
 
     tokens: float
     expires_at: float
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class DomainBucket:
-    """The holder's bucket of one team in one failure domain.
+    """Token bucket of one team in one failure domain, kept by the lease holder.
 
     Parameters
     ----------
@@ -55,15 +55,15 @@
         Share of the team's rate.
     burst : float
         Share of the team's burst.
-    now : float
-        Monotonic time from which tokens are created. The bucket starts empty: a
-        predecessor may have granted everything it had, so a new holder passes the
+    refilled_at : float
+        Monotonic time from which tokens are created. The bucket starts empty: the
+        previous holder may have granted all its tokens, so a new holder passes the
         time at which the last such grant has expired.
     """
 
     rate_per_s: float
     burst: float
-    now: float
+    refilled_at: float
     level: float = 0.0
     loan_by_vm: dict[str, Loan] = field(default_factory=dict)
     _demand_per_s: float = 0.0
@@ -71,7 +71,7 @@
 
     @property
     def outstanding(self) -> float:
-        """Tokens that VMs may still spend or give back."""
+        """Tokens that VMs may still spend or return."""
         return sum(loan.tokens for loan in self.loan_by_vm.values())
 
     def set_limits(self, *, rate_per_s: float, burst: float, now: float) -> None:
@@ -96,51 +96,51 @@
         Parameters
         ----------
         vm : str
-            Borrower.
+            VM that borrows.
         wanted : float
-            Tokens asked for.
+            Tokens requested.
         held : float
-            Tokens from earlier grants that it still holds.
+            Tokens from earlier grants that the VM still holds.
         returned : float
-            Tokens from earlier grants that it let expire unspent.
+            Tokens from earlier grants that expired unspent at the VM.
         now : float
-            Monotonic time of the holder.
+            Monotonic time at the lease holder.
         ttl_s : float
-            Lifetime of the grant, bounded by the holder's lease.
+            Lifetime of the grant, limited by the holder's lease.
 
         Returns
         -------
         Grant
-            As many tokens as the bucket has.
+            The wanted tokens, or as many as the bucket has.
         """
         self.refill(now)
         self._record_demand(wanted, now)
-        known = self.loan_by_vm.pop(vm, Loan(0.0, now))
-        returned = min(returned, known.tokens)
-        held = min(held, known.tokens - returned)
+        previous = self.loan_by_vm.pop(vm, Loan(0.0, now))
+        returned = min(returned, previous.tokens)
+        held = min(held, previous.tokens - returned)
         self.level += returned
         tokens = min(wanted, self.level)
         self.level -= tokens
-        expires_at = max(now + ttl_s, known.expires_at)
+        expires_at = max(now + ttl_s, previous.expires_at)
         self.loan_by_vm[vm] = Loan(held + tokens, expires_at)
         missing = max(0.0, wanted - tokens)
         retry_after_s = missing / self.rate_per_s if self.rate_per_s > 0 else 1.0
         return Grant(tokens, ttl_s, retry_after_s)
 
     def lend(self, wanted: float, now: float) -> float:
-        """Give tokens to another domain's ledger, keeping what is needed here.
+        """Transfer tokens to another domain's ledger, but keep a reserve for local use.
 
         Parameters
         ----------
         wanted : float
-            Tokens that the other domain asks for.
+            Tokens that the other domain requests.
         now : float
             Monotonic time.
 
         Returns
         -------
         float
-            Tokens given; they leave this bucket for good.
+            Tokens transferred; they are not returned to this bucket.
         """
         self.refill(now)
         reserve = min(self.burst, self._recent_demand(now) * LEND_RESERVE_S)
@@ -149,24 +149,24 @@
         return tokens
 
     def receive(self, tokens: float, now: float) -> None:
-        """Add tokens given by another domain, up to the burst share."""
+        """Add tokens from another domain, up to the burst share."""
         self.refill(now)
-        room = max(0.0, self.burst - self.outstanding - self.level)
-        self.level += min(tokens, room)
+        free = max(0.0, self.burst - self.outstanding - self.level)
+        self.level += min(tokens, free)
 
     def refill(self, now: float) -> None:
         """Create the tokens due since the last call, up to the burst share."""
         for vm, loan in list(self.loan_by_vm.items()):
             if loan.expires_at + RETURN_GRACE_S <= now:
                 del self.loan_by_vm[vm]
-        elapsed_s = max(0.0, now - self.now)
-        self.now = max(now, self.now)
+        elapsed_s = max(0.0, now - self.refilled_at)
+        self.refilled_at = max(now, self.refilled_at)
         ceiling = max(0.0, self.burst - self.outstanding)
         self.level = min(ceiling, self.level + elapsed_s * self.rate_per_s)
 
     def _record_demand(self, wanted: float, now: float) -> None:
-        recent = self._recent_demand(now)
-        self._demand_per_s = recent + wanted / DEMAND_SMOOTHING_S
+        demand_per_s = self._recent_demand(now)
+        self._demand_per_s = demand_per_s + wanted / DEMAND_SMOOTHING_S
         self._demand_at = now
 
     def _recent_demand(self, now: float) -> float:
@@ -176,7 +176,7 @@
 
 @dataclass(slots=True)
 class TokenCache:
-    """Tokens of one team that a VM holds.
+    """Borrowed tokens of one team at a VM.
 
     Examples
     --------
@@ -190,15 +190,15 @@
 
     tokens: float = 0.0
     expires_at: float = 0.0
-    _spent_per_s: float = 0.0
-    _spent_at: float = 0.0
+    _demand_per_s: float = 0.0
+    _demand_at: float = 0.0
     _returned: float = 0.0
 
     def spend(self, cost: float, now: float) -> bool:
-        """Take tokens, False if too few are held."""
+        """Spend tokens, False if fewer than the cost are held."""
         self._record_demand(cost, now)
         self._expire(now)
-        if self.tokens < cost - ROUNDING:
+        if self.tokens < cost - ROUNDING_ERROR:
             return False
         self.tokens = max(0.0, self.tokens - cost)
         return True
@@ -209,7 +209,7 @@
         return returned
 
     def add(self, tokens: float, *, expires_at: float, now: float) -> None:
-        """Add granted tokens; the earlier expiry holds for all."""
+        """Add granted tokens; all held tokens get the earlier expiry."""
         self._expire(now)
         if self.tokens > 0:
             expires_at = min(expires_at, self.expires_at)
@@ -217,10 +217,10 @@
         self.expires_at = expires_at
 
     def wanted(self, waiting: float, now: float) -> float:
-        """Return how many tokens to ask for, given the waiting cost."""
+        """Return how many tokens to request, given the cost of waiting operations."""
         self._expire(now)
-        decay = max(0.0, 1.0 - (now - self._spent_at) / DEMAND_SMOOTHING_S)
-        prefetch = self._spent_per_s * decay * PREFETCH_S
+        decay = max(0.0, 1.0 - (now - self._demand_at) / DEMAND_SMOOTHING_S)
+        prefetch = self._demand_per_s * decay * PREFETCH_S
         return max(0.0, waiting + prefetch - self.tokens)
 
     def _expire(self, now: float) -> None:
@@ -229,6 +229,6 @@
             self.tokens = 0.0
 
     def _record_demand(self, cost: float, now: float) -> None:
-        decay = max(0.0, 1.0 - (now - self._spent_at) / DEMAND_SMOOTHING_S)
-        self._spent_per_s = self._spent_per_s * decay + cost / DEMAND_SMOOTHING_S
-        self._spent_at = now
+        decay = max(0.0, 1.0 - (now - self._demand_at) / DEMAND_SMOOTHING_S)
+        self._demand_per_s = self._demand_per_s * decay + cost / DEMAND_SMOOTHING_S
+        self._demand_at = now
--- a/packages/guavabarrow-core/tests/test_lease.py
+++ b/packages/guavabarrow-core/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""One lease, three VMs, under virtual time with pauses, outages and lost answers."""
+"""One lease and three VMs in virtual time, with pauses, outages and lost responses."""
 
 from dataclasses import replace
 
@@ -26,19 +26,19 @@
 )
 
 TICK_S = 0.1
-SILENT_S = 1.0
+HEARTBEAT_TIMEOUT_S = 1.0
 VMS = ("a", "b", "c")
 
 
 class Node:
-    """A VM with what it has heard of the others, while it was awake."""
+    """A VM and the heartbeats that it received while it was running."""
 
     def __init__(self, vm):
         self.lease = Lease(vm)
         self.vm = vm
         self.paused = False
-        self.heard_at = {}
-        self.epoch_by_vm = {}
+        self.heartbeat_at = {}
+        self.claim_by_vm = {}
 
 
 class Leases(RuleBasedStateMachine):
@@ -47,7 +47,7 @@
         self.now = 0.0
         self.store = LeaseRow()
         self.store_up = True
-        self.lose_answers = 0
+        self.responses_to_lose = 0
         self.nodes = {vm: Node(vm) for vm in VMS}
         self.holders_seen = set()
 
@@ -66,23 +66,26 @@
             Claim(other.lease.epoch, vm)
             for vm, other in self.nodes.items()
             if vm != node.vm
-            and self.now - node.heard_at.get(vm, -99.0) < SILENT_S
-            and node.epoch_by_vm.get(vm, (0, False))[1]
+            and self.now - node.heartbeat_at.get(vm, -99.0) < HEARTBEAT_TIMEOUT_S
+            and node.claim_by_vm.get(vm, (0, False))[1]
         ]
         alive = [
             vm
             for vm in VMS
-            if vm == node.vm or self.now - node.heard_at.get(vm, -99.0) < SILENT_S
+            if vm == node.vm
+            or self.now - node.heartbeat_at.get(vm, -99.0) < HEARTBEAT_TIMEOUT_S
         ]
         rank = alive.index(node.vm)
         holder = node.lease.row.holder
-        silent = self.now - node.heard_at.get(holder, -99.0) >= SILENT_S
+        is_timed_out = (
+            self.now - node.heartbeat_at.get(holder, -99.0) >= HEARTBEAT_TIMEOUT_S
+        )
         event = LeaseTick(
             is_candidate=rank < 2,
             is_preferred=rank == 0,
-            holder_unreachable=not claims and silent and holder != node.vm,
+            holder_unreachable=not claims and is_timed_out and holder != node.vm,
             max_heartbeat_epoch=max(
-                (e for e, _ in node.epoch_by_vm.values()), default=0
+                (e for e, _ in node.claim_by_vm.values()), default=0
             ),
             rival_claim=max(claims, default=None),
         )
@@ -90,18 +93,18 @@
             node.lease.step(self.perform(action), self.now)
 
     def exchange_heartbeats(self, node):
-        woke = node.lease._ticked_at is not None and (
+        resumed = node.lease._ticked_at is not None and (
             self.now - node.lease._ticked_at > 0.6
         )
         for vm, other in self.nodes.items():
             if vm == node.vm:
                 continue
-            if woke and vm in node.heard_at:
-                node.heard_at[vm] = self.now
+            if resumed and vm in node.heartbeat_at:
+                node.heartbeat_at[vm] = self.now
             if not other.paused:
-                node.heard_at[vm] = self.now
+                node.heartbeat_at[vm] = self.now
                 claims = other.lease.holds(self.now)
-                node.epoch_by_vm[vm] = (other.lease.epoch, claims)
+                node.claim_by_vm[vm] = (other.lease.epoch, claims)
 
     def perform(self, action):
         if not self.store_up:
@@ -112,8 +115,8 @@
             written = True
         else:
             assert isinstance(action, ReadRow | WriteRow)
-        if self.lose_answers:
-            self.lose_answers -= 1
+        if self.responses_to_lose:
+            self.responses_to_lose -= 1
             return StoreFailed()
         return RowRead(self.store, self.now, written)
 
@@ -122,8 +125,8 @@
         self.store_up = up
 
     @rule(count=st.integers(1, 3))
-    def lose(self, count):
-        self.lose_answers = count
+    def lose_responses(self, count):
+        self.responses_to_lose = count
 
     @rule(vm=st.sampled_from(VMS))
     def pause(self, vm):
@@ -137,7 +140,7 @@
 
     @rule(vm=st.sampled_from(VMS))
     def replace_vm(self, vm):
-        """The VM dies and a new one takes its place."""
+        """The VM fails and a new process replaces it."""
         self.nodes[vm] = Node(vm)
 
     def check(self):
@@ -160,8 +163,8 @@
 TestLeases = Leases.TestCase
 
 
-def run_alone(lease, store, start, count, *, up=True):
-    """Tick a VM that hears nobody else."""
+def run_isolated(lease, store, start, count, *, up=True):
+    """Tick a VM that receives no heartbeats of others."""
     now = start
     for _ in range(count):
         now += TICK_S
@@ -178,33 +181,33 @@
     return store, now
 
 
-def test_lease_is_taken_and_kept():
+def test_lease_is_acquired_and_kept():
     lease = Lease("a")
-    store, now = run_alone(lease, LeaseRow(), 0.0, 30)
+    store, now = run_isolated(lease, LeaseRow(), 0.0, 30)
     assert lease.holds(now)
     assert store.holder == "a"
 
 
-def test_holder_goes_on_while_the_store_is_down():
+def test_holder_keeps_the_lease_while_the_store_is_down():
     lease = Lease("a")
-    store, now = run_alone(lease, LeaseRow(), 0.0, 30)
-    _, now = run_alone(lease, store, now, 100, up=False)
+    store, now = run_isolated(lease, LeaseRow(), 0.0, 30)
+    _, now = run_isolated(lease, store, now, 100, up=False)
     assert lease.holds(now)
 
 
 def test_successor_takes_over_without_a_store_only_after_waiting():
     lease = Lease("b")
     store = LeaseRow("a", 4, 9, 7)
-    _, now = run_alone(lease, store, 0.0, 30, up=False)
+    _, now = run_isolated(lease, store, 0.0, 30, up=False)
     assert not lease.holds(now)
-    _, now = run_alone(lease, store, now, 10, up=False)
+    _, now = run_isolated(lease, store, now, 10, up=False)
     assert lease.holds(now)
 
 
-def test_holder_that_resumes_while_the_store_is_down_listens_before_it_acts():
+def test_resumed_holder_waits_for_claims_while_the_store_is_down():
     lease = Lease("a")
-    store, now = run_alone(lease, LeaseRow(), 0.0, 30)
-    _, now = run_alone(lease, store, now, 40, up=False)
+    store, now = run_isolated(lease, LeaseRow(), 0.0, 30)
+    _, now = run_isolated(lease, store, now, 40, up=False)
     assert lease.holds(now)
     now += 5.0
     assert not lease.holds(now)
@@ -212,15 +215,15 @@
         LeaseTick(is_candidate=True, is_preferred=True, holder_unreachable=True), now
     )
     assert not lease.holds(now)
-    rival_claim = LeaseTick(
+    tick = LeaseTick(
         False, False, False, max_heartbeat_epoch=2, rival_claim=Claim(2, "b")
     )
-    lease.step(rival_claim, now + TICK_S)
-    _, now = run_alone(lease, store, now + TICK_S, 20, up=False)
+    lease.step(tick, now + TICK_S)
+    _, now = run_isolated(lease, store, now + TICK_S, 20, up=False)
     assert not lease.holds(now)
 
 
-def test_own_row_that_was_only_read_gives_no_lease():
+def test_reading_the_own_row_does_not_grant_the_lease():
     lease = Lease("a")
     lease.step(
         LeaseTick(is_candidate=True, is_preferred=True, holder_unreachable=True), 0.0
@@ -229,15 +232,15 @@
     assert not lease.holds(0.02)
 
 
-class TakesOverFromTheLiving(Lease):
-    """Broken: takes the lease over although the holder is heard."""
+class TakesOverFromLiveHolder(Lease):
+    """Faulty variant: takes over the lease of a holder that is still alive."""
 
     def _may_take_over(self, event, now):
         return self._row_changed_at is not None
 
 
-def test_broken_lease_is_caught(monkeypatch):
-    monkeypatch.setattr(f"{__name__}.Lease", TakesOverFromTheLiving)
+def test_faulty_lease_is_detected(monkeypatch):
+    monkeypatch.setattr(f"{__name__}.Lease", TakesOverFromLiveHolder)
     search = settings(
         Leases.TestCase.settings,
         max_examples=1000,
@@ -248,16 +251,16 @@
         run_state_machine_as_test(Leases, settings=search)
 
 
-@pytest.mark.parametrize("part", [0.35, 0.7, 0.99])
-def test_a_lease_is_not_taken_over_before_it_lapses(part):
+@pytest.mark.parametrize("fraction", [0.35, 0.7, 0.99])
+def test_a_lease_is_not_taken_over_before_it_expires(fraction):
     lease = Lease("b")
-    silent = LeaseTick(is_candidate=True, is_preferred=True, holder_unreachable=True)
-    lease.step(silent, 0.0)
+    tick = LeaseTick(is_candidate=True, is_preferred=True, holder_unreachable=True)
+    lease.step(tick, 0.0)
     lease.step(RowRead(LeaseRow("a", 1, 0, 7), 0.0), 0.0)
     now = 0.0
-    while now + TICK_S < LEASE_S * part:
+    while now + TICK_S < LEASE_S * fraction:
         now += TICK_S
-        actions = lease.step(silent, now)
+        actions = lease.step(tick, now)
         assert not any(isinstance(action, WriteRow) for action in actions)
         if actions:
             lease.step(RowRead(LeaseRow("a", 1, 0, 7), now), now)
--- a/packages/guavabarrow-core/tests/test_token_lending.py
+++ b/packages/guavabarrow-core/tests/test_token_lending.py
@@ -1,4 +1,4 @@
-"""Rates under virtual time: no schedule of VMs, losses and holders overruns."""
+"""Lent tokens in virtual time stay within the rate for any order of events."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -13,7 +13,7 @@
 
 
 class Ledgers(RuleBasedStateMachine):
-    """Two domain ledgers, three VMs each, lost grants and new holders."""
+    """Two domain ledgers with three VMs each, lost grants and changes of holder."""
 
     def __init__(self):
         super().__init__()
@@ -36,9 +36,9 @@
         lost=st.booleans(),
         delay=st.floats(0.0, 0.2),
     )
-    def ask(self, domain, vm, wanted, lost, delay):
+    def borrow(self, domain, vm, wanted, lost, delay):
         cache = self.caches[domain][vm]
-        asked_at = self.now
+        sent_at = self.now
         cache.wanted(0.0, self.now)
         held = cache.tokens
         returned = cache.take_returned()
@@ -47,7 +47,7 @@
             vm, wanted=wanted, held=held, returned=returned, now=self.now
         )
         if not lost:
-            expires_at = asked_at + grant.ttl_s
+            expires_at = sent_at + grant.ttl_s
             cache.add(grant.tokens, expires_at=expires_at, now=self.now)
 
     @rule(domain=st.integers(0, DOMAINS - 1), vm=st.sampled_from(VMS))
@@ -67,7 +67,7 @@
         )
 
     @invariant()
-    def no_window_overruns(self):
+    def no_window_exceeds_the_rate(self):
         end = len(self.spent)
         for start in range(end):
             duration = self.spent[end - 1] - self.spent[start]
@@ -80,7 +80,7 @@
 TestLedgers = Ledgers.TestCase
 
 
-def test_vm_that_asks_again_gets_the_whole_rate():
+def test_repeated_requests_get_the_whole_rate():
     bucket = DomainBucket(RATE, BURST, 0.0, BURST)
     cache = TokenCache()
     spent = 0
@@ -93,20 +93,20 @@
     assert spent >= 0.99 * RATE * 10
 
 
-def test_lender_keeps_what_its_own_callers_need():
+def test_lender_keeps_a_reserve_for_local_demand():
     bucket = DomainBucket(RATE, BURST, 0.0, BURST)
     bucket.grant("a", wanted=10.0, held=0.0, now=0.0)
     assert bucket.lend(100.0, 0.0) <= BURST - 10.0 - 5.0
 
 
-def test_fractions_that_add_up_to_the_cost_are_enough():
+def test_fractions_of_tokens_add_up_to_the_cost():
     cache = TokenCache()
     for _ in range(10):
         cache.add(0.1, expires_at=1.0, now=0.0)
     assert cache.spend(1.0, now=0.5)
 
 
-def test_unspent_tokens_go_back_when_they_expire():
+def test_expired_tokens_are_returned():
     bucket = DomainBucket(RATE, BURST, 0.0, BURST)
     cache = TokenCache()
     grant = bucket.grant("a", wanted=10.0, held=0.0, now=0.0)
@@ -124,7 +124,7 @@
     assert again.tokens == 6.0
 
 
-def test_more_cannot_be_returned_than_was_granted():
+def test_no_more_tokens_are_returned_than_were_granted():
     bucket = DomainBucket(0.0, BURST, 0.0, 5.0)
     bucket.grant("a", wanted=5.0, held=0.0, now=0.0)
     assert bucket.grant("a", wanted=9.0, held=0.0, returned=9.0, now=0.5).tokens <= 5.0
