--- a/packages/guavabarrow-core/src/guavabarrow_core/fair_queue.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/fair_queue.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class QueuedItem(Generic[T]):
-    """An item that waits for a connection."""
+    """Item that waits for a connection."""
 
     value: T
     team: str
@@ -44,7 +44,7 @@
     Parameters
     ----------
     max_per_team : int
-        Longest queue of one team.
+        Maximum queue length of one team.
 
     Examples
     --------
@@ -57,7 +57,7 @@
     """
 
     def __init__(self, max_per_team: int = MAX_QUEUED_PER_TEAM) -> None:
-        self._by_team: dict[str, TeamQueue[T]] = {}
+        self._queue_by_team: dict[str, TeamQueue[T]] = {}
         self._virtual_time = 0.0
         self._max_per_team = max_per_team
         self._service_s = INITIAL_SERVICE_S
@@ -67,8 +67,8 @@
         return self._length
 
     @property
-    def drain_s(self) -> float:
-        """Estimated seconds until an item pushed now is served."""
+    def estimated_wait_s(self) -> float:
+        """Estimated time until an item pushed now is served, in s."""
         return self._service_s * (self._length + 1)
 
     def push(
@@ -79,20 +79,20 @@
         Parameters
         ----------
         value : object
-            What waits.
+            Value to queue.
         team : str
-            Team that is charged.
+            Team that the item belongs to.
         weight : float
-            Share of the team relative to other teams.
+            Weight of the team relative to other teams.
         deadline : float
-            Monotonic time after which the item is not worth serving.
+            Monotonic time after which the item needs not be served.
         now : float
             Monotonic time.
 
         Returns
         -------
         QueuedItem
-            Handle for :meth:`discard`.
+            Queued item, to be passed to :meth:`discard`.
 
         Raises
         ------
@@ -103,12 +103,12 @@
         """
         if now >= deadline:
             raise DeadlineExceeded("The deadline passed before the request was queued.")
-        queue = self._by_team.setdefault(team, TeamQueue(weight))
+        queue = self._queue_by_team.setdefault(team, TeamQueue(weight))
         queue.weight = weight
         if len(queue.items) >= self._max_per_team:
             raise Overloaded(
                 "The team's queue in front of the database is full.",
-                retry_after_s=self.drain_s,
+                retry_after_s=self.estimated_wait_s,
             )
         start_tag = max(self._virtual_time, queue.finish_tag)
         queue.finish_tag = start_tag + 1.0 / weight
@@ -130,31 +130,31 @@
         QueuedItem or None
             Its deadline may have passed; None if the queue is empty.
         """
-        waiting = [queue for queue in self._by_team.values() if queue.items]
+        waiting = [queue for queue in self._queue_by_team.values() if queue.items]
         if not waiting:
             return None
-        chosen = min(waiting, key=lambda queue: queue.items[0].start_tag)
-        item = chosen.items.popleft()
+        next_queue = min(waiting, key=lambda queue: queue.items[0].start_tag)
+        item = next_queue.items.popleft()
         self._length -= 1
         self._virtual_time = item.start_tag
-        self._forget_idle(item.team)
+        self._remove_if_idle(item.team)
         return item
 
     def discard(self, item: QueuedItem[T]) -> bool:
         """Remove a waiting item, False if it was popped before."""
-        queue = self._by_team.get(item.team)
+        queue = self._queue_by_team.get(item.team)
         if queue is None or item not in queue.items:
             return False
         queue.items.remove(item)
         self._length -= 1
-        self._forget_idle(item.team)
+        self._remove_if_idle(item.team)
         return True
 
     def record_service(self, interval_s: float) -> None:
-        """Feed the interval between two completions into the drain estimate."""
+        """Update the wait estimate with the interval between two completions, in s."""
         self._service_s += SERVICE_SMOOTHING * (interval_s - self._service_s)
 
-    def _forget_idle(self, team: str) -> None:
-        queue = self._by_team[team]
+    def _remove_if_idle(self, team: str) -> None:
+        queue = self._queue_by_team[team]
         if not queue.items and queue.finish_tag <= self._virtual_time:
-            del self._by_team[team]
+            del self._queue_by_team[team]
--- a/packages/guavabarrow-core/src/guavabarrow_core/retry_budget.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget: bounds the load that retries add while a database is slow."""
+"""Retry budget: limits the load that retries add while a database is slow."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Token bucket that is filled by first attempts and drained by retries.
+    """Token bucket that first attempts fill and retries drain.
 
     Parameters
     ----------
     ratio : float
         Retries allowed per first attempt.
     reserve : float
-        Retries allowed at once.
+        Maximum balance, and thus retries allowed at once.
 
     Examples
     --------
@@ -36,11 +36,11 @@
         self._balance = self.reserve
 
     def deposit(self) -> None:
-        """Count a first attempt."""
+        """Add the credit of one first attempt."""
         self._balance = min(self.reserve, self._balance + self.ratio)
 
     def withdraw(self) -> bool:
-        """Take one retry, False if the budget is spent."""
+        """Spend one retry, False if the budget is exhausted."""
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
--- a/packages/guavabarrow-core/src/guavabarrow_core/send_window.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/send_window.py
@@ -1,41 +1,42 @@
-"""How many statements a VM has under way at one target.
+"""Adaptive limit on the statements that a VM runs concurrently at one target.
 
-Pattern: replicas fall behind, all reads go to the primary, and its own queue fills with
-statements and handshakes whose callers give up before it gets to them. The window keeps
-the queue at the VM, where it is ordered by priority and where a statement that would
-come too late is refused at once. It grows while answers are quick and shrinks when the
-target refuses or slows down, as congestion windows do.
+When replicas lag, all reads go to the primary, and its queue fills with statements and
+handshakes whose callers time out before it processes them. The window keeps the queue
+at the VM, where it is ordered by priority and where a statement that cannot meet its
+deadline is refused at once. The window grows while responses are fast and shrinks when
+the target refuses statements or slows down, like a congestion window (AIMD).
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-GROWTH = 0.5
-"""Added per window of quick answers."""
+INCREASE = 0.5
+"""Additive increase per window of fast responses."""
 
 SLOW_FACTOR = 0.95
-"""Factor for each answer that took too long."""
+"""Multiplicative decrease for each slow response."""
 
 REFUSED_FACTOR = 0.7
-"""Factor for each refusal by the target."""
+"""Multiplicative decrease for each refusal by the target."""
 
-SLOW_S = 0.12
-"""Answers above this had to wait: the slowest kind of work takes 40 ms on average."""
+SLOW_RESPONSE_S = 0.12
+"""Response time above which a statement must have been queued at the target, in s: the
+slowest kind of statement takes 40 ms on average."""
 
 MIN_WINDOW = 1.0
 
 
 @dataclass(slots=True)
 class SendWindow:
-    """Window of one target.
+    """Concurrency window of one target.
 
     Parameters
     ----------
     max_size : float
         Largest window.
     size : float
-        Statements that may be under way.
+        Number of statements that may run concurrently.
 
     Examples
     --------
@@ -49,20 +50,20 @@
     size: float
 
     def allows(self, running: int) -> bool:
-        """Tell whether another statement may be sent beside ``running`` ones."""
+        """Return whether a statement may be sent while ``running`` others run."""
         return running < max(MIN_WINDOW, int(self.size))
 
     def on_answer(self, response_s: float) -> None:
-        """Take the time of an answer, in s."""
-        if response_s > SLOW_S:
+        """Adjust the window to a response time, in s."""
+        if response_s > SLOW_RESPONSE_S:
             self.size = max(MIN_WINDOW, self.size * SLOW_FACTOR)
         else:
-            self.size = min(self.max_size, self.size + GROWTH / self.size)
+            self.size = min(self.max_size, self.size + INCREASE / self.size)
 
     def on_refused(self) -> None:
-        """Take a refusal because the target was full."""
+        """Shrink the window after a refusal because the target was full."""
         self.size = max(MIN_WINDOW, self.size * REFUSED_FACTOR)
 
     def wait_s(self, waiting: int, response_s: float) -> float:
-        """Return the expected wait of a statement behind ``waiting`` ones, in s."""
+        """Return the expected wait of a statement behind ``waiting`` others, in s."""
         return waiting * response_s / max(MIN_WINDOW, self.size)
--- a/packages/guavabarrow-core/src/guavabarrow_core/service_level.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/service_level.py
@@ -1,4 +1,4 @@
-"""Service-level objectives and how fast their error budgets burn.
+"""Service-level objectives and the burn rates of their error budgets.
 
 Source of the thresholds: Beyer et al., "The Site Reliability Workbook", 2018,
 chapter 5, "Alerting on SLOs".
@@ -12,11 +12,11 @@
 
 FAST_BURN = 14.4
 SLOW_BURN = 3.0
-SHORT_WINDOW_SHARE = 1 / 12
+SHORT_WINDOW_FRACTION = 1 / 12
 
 
 class Alert(Enum):
-    """What an operator should do."""
+    """Action required of an operator."""
 
     NONE = "none"
     SLOW_BURN = "slow burn: look today"
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """Share of good answers that is promised.
+    """Target fraction of good responses.
 
     Parameters
     ----------
     name : str
-        Name for people.
+        Display name.
     target : float
-        Promised share, below 1.
+        Fraction of good responses, below 1.
     """
 
     name: str
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """Counters of one team at a time.
+    """Counter values of one team at one time.
 
     Parameters
     ----------
     at : float
-        Time, seconds.
+        Time, in s.
     good, total : float
-        Answers since the start of the counters.
+        Responses since the counters started.
     """
 
     at: float
@@ -63,7 +63,7 @@
     Parameters
     ----------
     objective : Objective
-        What is promised.
+        Service-level objective.
 
     Examples
     --------
@@ -80,23 +80,23 @@
     samples: deque[Sample] = field(default_factory=lambda: deque(maxlen=10_000))
 
     def add(self, sample: Sample) -> None:
-        """Append a sample; lower counters mean a restart and begin anew."""
+        """Append a sample; a lower counter means a restart and clears the history."""
         if self.samples and sample.total < self.samples[-1].total:
             self.samples.clear()
         self.samples.append(sample)
 
     def burn_rate(self, window_s: float) -> float:
-        """Return how many times faster than allowed the budget was used.
+        """Return the rate of error budget consumption relative to the allowed rate.
 
         Parameters
         ----------
         window_s : float
-            Window that ends with the last sample.
+            Length of the window that ends with the last sample, in s.
 
         Returns
         -------
         float
-            1 uses the budget up exactly; 0 without requests.
+            1 consumes the budget exactly; 0 without requests.
         """
         if len(self.samples) < 2:
             return 0.0
@@ -107,13 +107,13 @@
         total = last.total - first.total
         if total <= 0:
             return 0.0
-        bad_share = 1.0 - (last.good - first.good) / total
-        return bad_share / (1.0 - self.objective.target)
+        bad_fraction = 1.0 - (last.good - first.good) / total
+        return bad_fraction / (1.0 - self.objective.target)
 
     def alert(self, window_s: float) -> Alert:
-        """Judge the window together with its last twelfth."""
+        """Return the alert for the lower burn rate of a window and its last twelfth."""
         burn = min(
-            self.burn_rate(window_s), self.burn_rate(window_s * SHORT_WINDOW_SHARE)
+            self.burn_rate(window_s), self.burn_rate(window_s * SHORT_WINDOW_FRACTION)
         )
         if len(self.samples) == 2:
             burn = self.burn_rate(window_s)
--- a/packages/guavabarrow-core/src/guavabarrow_core/store_clock.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/store_clock.py
@@ -1,8 +1,8 @@
-"""Bounds on the store's steady clock, as seen from this VM's clock.
+"""Bounds on the offset between the store's monotonic clock and this VM's clock.
 
-An answer that carries the store's time was computed between the moment its call was
-sent and the moment it arrived. Every call therefore bounds the difference of the two
-clocks from both sides; the tightest bounds are kept.
+The store reads its clock for a response after the request was sent and before the
+response arrives. Every request therefore bounds the offset of the two clocks from both
+sides; the tightest bounds are kept.
 """
 
 from __future__ import annotations
@@ -29,23 +29,23 @@
 
     @property
     def is_set(self) -> bool:
-        """Whether any answer was seen."""
+        """Whether any response was observed."""
         return self._low_offset_s > -INFINITY
 
     def observe(self, *, store_s: float, sent_at: float, received_at: float) -> None:
-        """Take the time in one answer.
+        """Update the bounds with the store time of one response.
 
         Parameters
         ----------
         store_s : float
-            Store time in the answer, in s.
+            Store time in the response, in s.
         sent_at, received_at : float
-            Local times around the call, in s.
+            Local times of request and response, in s.
         """
         self._low_offset_s = max(self._low_offset_s, sent_at - store_s)
         self._high_offset_s = min(self._high_offset_s, received_at - store_s)
         if self._low_offset_s > self._high_offset_s:
-            # One of the clocks was set; start anew from this answer.
+            # One of the clocks was stepped; restart from this response.
             self._low_offset_s = sent_at - store_s
             self._high_offset_s = received_at - store_s
 
--- a/packages/guavabarrow-core/tests/test_send_window.py
+++ b/packages/guavabarrow-core/tests/test_send_window.py
@@ -1,7 +1,7 @@
-"""Statements under way at one target, without a network.
+"""Concurrency windows in front of one target, without a network.
 
-Load: replicas are behind, every read goes to a primary with two slots and a queue of
-24, and its callers give up after a second.
+Replicas lag, so that every read goes to a primary with two slots and a queue of 24, and
+callers give up after a second.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from guavabarrow_core.send_window import SendWindow
 
 SLOTS = 2
-QUEUE = 24
+MAX_QUEUED = 24
 VMS = 8
-WORK_S = 0.02
-ASKED_PER_S = 160.0
-LENGTH_S = 20.0
+MEAN_SERVICE_S = 0.02
+REQUESTS_PER_S = 160.0
+DURATION_S = 20.0
 
 
 class Target:
@@ -33,32 +33,32 @@
         """Return the end of a statement, None if the queue is full."""
         while self._ends and self._ends[0] <= now:
             heapq.heappop(self._ends)
-        if len(self._ends) >= SLOTS + QUEUE:
+        if len(self._ends) >= SLOTS + MAX_QUEUED:
             return None
-        begin = max(now, heapq.heappop(self._free_at))
-        end = begin + self._rng.exponential(WORK_S)
+        started_at = max(now, heapq.heappop(self._free_at))
+        end = started_at + self._rng.exponential(MEAN_SERVICE_S)
         heapq.heappush(self._free_at, end)
         heapq.heappush(self._ends, end)
         return end
 
 
-def play(seed: int, *, is_bounded: bool) -> tuple[float, int]:
-    """Return the 95th percentile of the target's answer time and its refusals."""
+def simulate(seed: int, *, is_bounded: bool) -> tuple[float, int]:
+    """Return the 95th percentile of the target's response time and its refusals."""
     rng = np.random.default_rng(seed)
     target = Target(rng)
     windows = [SendWindow(8.0, 3.0) for _ in range(VMS)]
     running = [0] * VMS
-    events: list[tuple[float, int, float]] = []
-    times: list[float] = []
+    completions: list[tuple[float, int, float]] = []
+    response_times_s: list[float] = []
     refused = 0
     now = 0.0
-    while now < LENGTH_S:
-        now += rng.exponential(1.0 / ASKED_PER_S)
-        while events and events[0][0] <= now:
-            ended_at, vm, sent_at = heapq.heappop(events)
+    while now < DURATION_S:
+        now += rng.exponential(1.0 / REQUESTS_PER_S)
+        while completions and completions[0][0] <= now:
+            ended_at, vm, sent_at = heapq.heappop(completions)
             running[vm] -= 1
             windows[vm].on_answer(ended_at - sent_at)
-            times.append(ended_at - sent_at)
+            response_times_s.append(ended_at - sent_at)
         vm = int(rng.integers(VMS))
         if is_bounded and not windows[vm].allows(running[vm]):
             continue
@@ -68,19 +68,19 @@
             windows[vm].on_refused()
             continue
         running[vm] += 1
-        heapq.heappush(events, (end, vm, now))
-    return float(np.percentile(times, 95)), refused
+        heapq.heappush(completions, (end, vm, now))
+    return float(np.percentile(response_times_s, 95)), refused
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_the_queue_stays_at_the_vms(seed):
-    bounded_s, bounded_refusals = play(seed, is_bounded=True)
-    free_s, free_refusals = play(seed, is_bounded=False)
-    assert bounded_s < 0.75 * free_s
-    assert bounded_refusals < 0.1 * free_refusals
+def test_the_window_keeps_the_queue_at_the_vms(seed):
+    bounded_s, bounded_refusals = simulate(seed, is_bounded=True)
+    unbounded_s, unbounded_refusals = simulate(seed, is_bounded=False)
+    assert bounded_s < 0.75 * unbounded_s
+    assert bounded_refusals < 0.1 * unbounded_refusals
 
 
-def test_a_window_grows_while_answers_are_quick_and_never_closes():
+def test_a_window_grows_with_fast_responses_and_never_closes():
     window = SendWindow(8.0, 3.0)
     for _ in range(200):
         window.on_answer(0.02)
--- a/packages/guavabarrow-core/tests/test_store_clock.py
+++ b/packages/guavabarrow-core/tests/test_store_clock.py
@@ -1,4 +1,4 @@
-"""Bounds on the store's clock."""
+"""Bounds on the offset of the store's clock."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 def test_bounds_hold_for_any_delays(offset, calls, event_at):
     clock = StoreClock()
     now = 0.0
-    for pause_s, there_s, back_s in calls:
+    for pause_s, request_s, response_s in calls:
         sent_at = now + pause_s
-        answered_at = sent_at + there_s
-        now = answered_at + back_s
-        clock.observe(store_s=answered_at + offset, sent_at=sent_at, received_at=now)
+        computed_at = sent_at + request_s
+        now = computed_at + response_s
+        clock.observe(store_s=computed_at + offset, sent_at=sent_at, received_at=now)
     store_s = event_at + offset
     assert clock.earliest_local(store_s) <= event_at + 1e-6
     assert clock.latest_local(store_s) >= event_at - 1e-6
