--- a/packages/guavabarrow-core/src/guavabarrow_core/lease.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/lease.py
@@ -190,7 +190,7 @@
                 return self._on_tick(event, now)
 
     def release(self, now: float) -> list[LeaseAction]:
-        """Release the lease, so that a successor needs not wait until it expires."""
+        """Release the lease, so that a successor need not wait for its expiry."""
         if not self.holds(now):
             return []
         released = LeaseRow("", self.row.epoch, self.row.renewal, self.row.revision)
