--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/directory_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/directory_service.py
@@ -1,4 +1,4 @@
-"""Keeps the list of registered targets and a pool of connections for each."""
+"""Keeps the list of registered targets and a connection pool for each."""
 
 from __future__ import annotations
 
@@ -30,35 +30,35 @@
     from guavabarrow_daemon.store.watched_table import DirectorySource
 
 READ_INTERVAL_S = 1.5
-"""Pace of looks at the list; a leaving target has several seconds."""
+"""Interval between reads of the list; a draining target stays for several seconds."""
 
-RELAY_LIMIT_S = 4.0
-"""Age of the list up to which a VM leaves reading it to the holder of the duty."""
+MAX_RELAY_AGE_S = 4.0
+"""Age of the list up to which a VM relies on the reads of the duty holder."""
 
 TRIM_INTERVAL_S = 0.25
-SUSPECT_S = 0.7
-"""Evidence against a target is withdrawn after this long without more of it."""
+EVIDENCE_TTL_S = 0.7
+"""Evidence against a target expires after this long unless it is renewed."""
 
-OPENING_LIMIT_S = 2.0
-"""A reachable target that is slow to take a session is full, not gone."""
+OPEN_TIMEOUT_S = 2.0
+"""A reachable target that is slow to accept a session is at capacity, not down."""
 
-CONNECTION_RESERVE = 2
-"""Connections of each target left for VMs that join and for status questions."""
+RESERVED_CONNECTIONS = 2
+"""Connections of each target kept free for joining VMs and status queries."""
 
 
 class DirectoryService(Service):
-    """Known targets with their pools.
+    """Registered targets with their connection pools.
 
     Attributes
     ----------
     directory : TargetDirectory
         Registered targets.
     pool_by_id : dict of str to SessionPool
-        Pools of targets that were used.
+        Pools of the targets that have been used.
     on_changed : list of callable
         Called after the list changed.
-    change : int
-        Names the present contents of the list.
+    list_digest : int
+        Digest of the current list.
     """
 
     name = "directory"
@@ -79,7 +79,7 @@
         self.on_changed: list[Callable[[], None]] = []
         self.create_codec = create_codec
         self._driver = SessionDriver(
-            create_codec, reactor, opening_limit_s=OPENING_LIMIT_S
+            create_codec, reactor, opening_limit_s=OPEN_TIMEOUT_S
         )
         self._source = source
         self._reactor = reactor
@@ -87,35 +87,35 @@
         self._links = kernel.find(PeerLinks)
         self._suspected: dict[str, tuple[str, float]] = {}
         self._last_entry_by_id: dict[str, TargetEntry] = {}
-        self.change = 0
-        self._leaving_since: dict[str, float] = {}
+        self.list_digest = 0
+        self._unusable_since: dict[str, float] = {}
         self._is_stopping = False
-        self._problems: set[str] = set()
-        self._trims: LoopingCall | None = None
+        self._reported_problems: set[str] = set()
+        self._trim_loop: LoopingCall | None = None
 
     async def start(self) -> None:
-        """Begin to follow the list."""
+        """Start to poll the list."""
         self._fleet.heartbeat_fillers.append(self._fill_heartbeat)
         self._fleet.on_rows.append(self._on_rows)
-        Deferred.fromCoroutine(self._follow())
-        self._trims = LoopingCall(self._trim)
-        self._trims.clock = self._reactor
-        self._trims.start(TRIM_INTERVAL_S, now=False)
+        Deferred.fromCoroutine(self._poll())
+        self._trim_loop = LoopingCall(self._trim)
+        self._trim_loop.clock = self._reactor
+        self._trim_loop.start(TRIM_INTERVAL_S, now=False)
 
     async def stop(self) -> None:
         """Close all connections."""
         self._is_stopping = True
-        if self._trims is not None and self._trims.running:
-            self._trims.stop()
+        if self._trim_loop is not None and self._trim_loop.running:
+            self._trim_loop.stop()
         for pool in self.pool_by_id.values():
-            pool.shut("The VM stops.")
+            pool.shut("The VM is shutting down.")
 
     def entry(self, target_id: str) -> TargetEntry | None:
         """Return a registered target, None if there is none."""
         return self.directory.entry_by_id.get(target_id)
 
     def usable_targets(self, service: str) -> list[TargetEntry]:
-        """Return the targets of a service that may get work."""
+        """Return the targets of a service that accept new work."""
         return [
             entry
             for entry in self.directory.of_service(service)
@@ -123,7 +123,7 @@
         ]
 
     def is_usable(self, target_id: str) -> bool:
-        """Tell whether a target may get work."""
+        """Return whether a target accepts new work."""
         entry = self.entry(target_id)
         return (
             entry is not None
@@ -132,32 +132,32 @@
         )
 
     def unusable_s(self, target_id: str) -> float:
-        """Return for how long a target is known to get no new work, in s."""
-        since = self._leaving_since.get(target_id)
+        """Return for how long a target has been excluded from new work, in s."""
+        since = self._unusable_since.get(target_id)
         return 0.0 if since is None else now_s() - since
 
     def pool(self, entry: TargetEntry) -> SessionPool:
         """Return the pool of a target, a new one if its address changed."""
         pool = self.pool_by_id.get(entry.target_id)
-        if pool is not None and self._is_same(pool.entry, entry):
+        if pool is not None and self._is_same_process(pool.entry, entry):
             pool.entry = entry
             return pool
         if pool is not None:
-            pool.shut("The target was started again.")
+            pool.shut("The target has restarted.")
         metrics = self.kernel.find(SessionMetrics)
         pool = SessionPool(
             entry,
             self._driver,
             self._reactor,
-            on_evidence=self.note_evidence,
+            on_evidence=self.record_evidence,
             count_handshake=lambda result: metrics.handshakes.labels(result).inc(),
         )
         self.pool_by_id[entry.target_id] = pool
         self._set_limits(pool)
         return pool
 
-    def note_evidence(self, target_id: str, evidence: str) -> None:
-        """Take what a connection told about a target: answered, refused, silent."""
+    def record_evidence(self, target_id: str, evidence: str) -> None:
+        """Record the outcome of a connection: answered, refused, silent or lost."""
         if evidence == "answered":
             if self._suspected.pop(target_id, None):
                 log_decision("target_trusted", target=target_id)
@@ -172,11 +172,11 @@
 
     def suspected(self) -> dict[str, str]:
         """Return recent evidence by target."""
-        horizon = now_s() - SUSPECT_S
+        cutoff = now_s() - EVIDENCE_TTL_S
         return {
             target_id: evidence
             for target_id, (evidence, at) in self._suspected.items()
-            if at > horizon
+            if at > cutoff
         }
 
     def entries(self) -> list[TargetEntry]:
@@ -190,16 +190,16 @@
         except StoreUnavailable:
             self.directory.record_outage(now_s())
             return
-        for problem in set(problems) - self._problems:
+        for problem in set(problems) - self._reported_problems:
             log_decision("entry_left_out", problem=problem)
-        self._problems = set(problems)
-        self._take(entries, 0.0)
+        self._reported_problems = set(problems)
+        self._apply_listing(entries, 0.0)
 
-    def _take(self, entries: list[TargetEntry], age_s: float) -> None:
+    def _apply_listing(self, entries: list[TargetEntry], age_s: float) -> None:
         outage_at = max(self._fleet.store_failed_at, self._fleet.stale_at)
         if outage_at > self.directory.as_of:
             self.directory.record_outage(outage_at)
-        known = dict(self.directory.entry_by_id)
+        previous = dict(self.directory.entry_by_id)
         changed, gone = self.directory.apply_listing(entries, now_s() - age_s)
         if not changed and not gone:
             return
@@ -218,24 +218,24 @@
                 self.pool(entry)
         for target_id in gone:
             log_decision("target_gone", target=target_id)
-            self._last_entry_by_id[target_id] = known[target_id]
+            self._last_entry_by_id[target_id] = previous[target_id]
             pool = self.pool_by_id.pop(target_id, None)
             if pool is not None:
-                pool.shut("The target is gone.")
-        self._tell_change()
+                pool.shut("The target is no longer registered.")
+        self._publish_change()
 
     def last_known_entry(self, target_id: str) -> TargetEntry | None:
-        """Return a target's entry, or the last one if it lapsed."""
+        """Return a target's entry, or its last one if it has expired."""
         return self.entry(target_id) or self._last_entry_by_id.get(target_id)
 
     def confirm_entry(self, entry: TargetEntry) -> None:
-        """Take note that a target answered under its own name."""
+        """Keep a target in the list after it answered under its own id."""
         if self.directory.confirm(entry, now_s()):
             log_decision("target_proven", target=entry.target_id)
-            self._tell_change()
+            self._publish_change()
 
-    def _tell_change(self) -> None:
-        self.change = xxh3_64_intdigest(msgspec.msgpack.encode(self.entries()))
+    def _publish_change(self) -> None:
+        self.list_digest = xxh3_64_intdigest(msgspec.msgpack.encode(self.entries()))
         for callback in self.on_changed:
             callback()
         self._fleet.send_heartbeat_now()
@@ -245,16 +245,16 @@
         """Age of the list, in s."""
         return min(UNKNOWN_AGE_S, now_s() - self.directory.as_of)
 
-    def take_relayed(self, entries: list[TargetEntry], age_s: float) -> None:
-        """Take the list as another VM read it."""
+    def apply_relayed_listing(self, entries: list[TargetEntry], age_s: float) -> None:
+        """Apply a list that another VM has read, if it is newer."""
         if age_s < self.age_s:
-            self._take(entries, age_s)
+            self._apply_listing(entries, age_s)
 
-    def confirm_relayed(self, age_s: float) -> None:
-        """Take note that another VM read the same list later."""
+    def confirm_relayed_listing(self, age_s: float) -> None:
+        """Record that another VM has read the same list more recently."""
         self.directory.as_of = max(self.directory.as_of, now_s() - age_s)
 
-    async def _follow(self) -> None:
+    async def _poll(self) -> None:
         while not self._is_stopping:
             if not self._is_relayed():
                 await self.refresh()
@@ -266,25 +266,25 @@
             return False
         heartbeat_age_s, heartbeat = self._fleet.last_heartbeat(duty.holder)
         return (
-            heartbeat_age_s + heartbeat.directory_age_s < RELAY_LIMIT_S
-            and self.age_s < RELAY_LIMIT_S
+            heartbeat_age_s + heartbeat.directory_age_s < MAX_RELAY_AGE_S
+            and self.age_s < MAX_RELAY_AGE_S
         )
 
     def _trim(self) -> None:
-        self._track_leaving()
+        self._track_unusable()
         for pool in list(self.pool_by_id.values()):
             self._set_limits(pool)
             pool.trim()
 
-    def _track_leaving(self) -> None:
+    def _track_unusable(self) -> None:
         now = now_s()
         for target_id in self.directory.entry_by_id:
             if self.is_usable(target_id):
-                self._leaving_since.pop(target_id, None)
+                self._unusable_since.pop(target_id, None)
             else:
-                self._leaving_since.setdefault(target_id, now)
-        for target_id in set(self._leaving_since) - set(self.directory.entry_by_id):
-            del self._leaving_since[target_id]
+                self._unusable_since.setdefault(target_id, now)
+        for target_id in set(self._unusable_since) - set(self.directory.entry_by_id):
+            del self._unusable_since[target_id]
 
     def _set_limits(self, pool: SessionPool) -> None:
         configuration = self._fleet.configuration
@@ -294,7 +294,7 @@
         if limits is None:
             return
         members = max(1, len(self._fleet.state.member_by_vm()))
-        available = max(1, limits.max_connections - CONNECTION_RESERVE)
+        available = max(1, limits.max_connections - RESERVED_CONNECTIONS)
         pool.even_part = max(1, available // members)
         pool.most = max(pool.even_part, min(available, pool.even_part + 1))
 
@@ -308,11 +308,11 @@
     def _fill_heartbeat(self, draft: HeartbeatDraft) -> None:
         draft.common["suspected"] = self.suspected()
         draft.common["directory_age_s"] = round(self.age_s, 3)
-        draft.common["directory_change"] = self.change
+        draft.common["directory_change"] = self.list_digest
 
     @staticmethod
-    def _is_same(known: TargetEntry, entry: TargetEntry) -> bool:
-        return (known.host, known.port, known.born_ms, known.service) == (
+    def _is_same_process(previous: TargetEntry, entry: TargetEntry) -> bool:
+        return (previous.host, previous.port, previous.born_ms, previous.service) == (
             entry.host,
             entry.port,
             entry.born_ms,
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_messages.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_messages.py
@@ -1,4 +1,4 @@
-"""Messages between VMs with connected sessions."""
+"""Messages that VMs exchange over their peer connections."""
 
 from __future__ import annotations
 
@@ -8,45 +8,46 @@
 
 from guavabarrow_core.target_directory import TargetEntry
 
-PACK_FROM_BYTES = 2000
-"""Smaller values are hardly ever shortened by more than their headers."""
+MIN_COMPRESS_BYTES = 2000
+"""Compressing smaller values rarely saves more than the headers add."""
 
 UNKNOWN_AGE_S = 1e9
-"""Age of what was never known."""
+"""Age of data that was never received."""
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """Who speaks on this connection."""
+    """First message of a connection, which identifies its sender."""
 
     vm: str
     incarnation: str
 
 
 class PeerHeartbeat(msgspec.Struct, frozen=True, tag="pulse", omit_defaults=True):
-    """Regular sign of life.
+    """Periodic message that shows that a VM is alive, with its current state.
 
     Parameters
     ----------
     demand_by_team : dict of str to float
-        Operations per second asked for, of teams whose demand changed. Inside the
-        failure domain that at this VM; to other domains that of the whole domain, from
-        the host of its pool.
+        Requested operations per second of teams whose demand changed: at this VM if
+        sent inside its failure domain, else of the whole domain, which only the host of
+        the domain's pool sends.
     is_full : bool
-        Whether teams that are missing have no demand.
+        Whether teams that are missing from ``demand_by_team`` have no demand.
     pool_host : str
-        VM of the own failure domain whose pool the sender uses, empty if none.
+        VM of the sender's failure domain whose pool the sender uses, empty if none.
     has_pool : bool
         Whether the sender hosts an open pool.
     suspected : dict of str to str
-        Evidence by target that this VM can't use.
+        Evidence against each target that the sender can't use.
     store_age_s : float
-        Age of the shared table as this VM knows it.
+        Age of the sender's copy of the shared table, in s.
     rows_version, orders_version : int
-        Versions of the shared and the operators' table that it knows.
+        Newest row versions in the sender's copies of the shared and the operators'
+        table.
     directory_age_s : float
-        Age of the list of targets as this VM knows it.
+        Age of the sender's list of targets, in s.
     directory_change : int
-        Names the present contents of the list.
+        Digest of the list.
     """
 
     demand_by_team: dict[str, float] = {}
@@ -62,28 +63,28 @@
 
 
 class SharedRow(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A row of a table in the store's own form; no value means dropped."""
+    """A table row with its value as stored, None if the row was deleted."""
 
     key: str
     version: int
     value: bytes | None
     is_packed: bool = False
 
-    def pack(self) -> SharedRow:
-        """Return the row with its value compressed, if that is worth it."""
-        if self.is_packed or self.value is None or len(self.value) < PACK_FROM_BYTES:
+    def compress(self) -> SharedRow:
+        """Return the row with its value compressed, if it is large enough."""
+        if self.is_packed or self.value is None or len(self.value) < MIN_COMPRESS_BYTES:
             return self
         return msgspec.structs.replace(
             self, value=zlib.compress(self.value), is_packed=True
         )
 
-    def unpack(self) -> SharedRow:
-        """Return the row with its value as the store has it.
+    def decompress(self) -> SharedRow:
+        """Return the row with its value as stored.
 
         Raises
         ------
         zlib.error
-            If it can't be read.
+            If the value is corrupt.
         """
         if not self.is_packed or self.value is None:
             return self
@@ -93,13 +94,13 @@
 
 
 class FleetRows(msgspec.Struct, frozen=True, tag="rows"):
-    """Rows of the shared table that the sender just wrote."""
+    """Rows of the shared table that the sender has just written."""
 
     rows: list[SharedRow]
 
 
 class PrimaryUseStopped(msgspec.Struct, frozen=True, tag="stopped"):
-    """The sender no longer uses a primary whose row was marked."""
+    """Confirms that the sender no longer uses a primary that is being replaced."""
 
     vm: str
     incarnation: str
@@ -108,16 +109,16 @@
 
 
 class TableRequest(msgspec.Struct, frozen=True, tag="ask"):
-    """Asks a VM for what it knows of the store.
+    """Requests the newer part of a VM's copy of the store's contents.
 
     Parameters
     ----------
     number : int
-        Names the request in the answer.
+        Identifies the request in the answer.
     rows_version, orders_version : int
-        Versions that the sender knows.
+        Newest row versions in the sender's copies of the tables.
     directory_change : int
-        Contents of the list of targets that the sender knows.
+        Digest of the sender's list of targets.
     """
 
     number: int
@@ -127,32 +128,32 @@
 
 
 class TableAnswer(msgspec.Struct, frozen=True, tag="tell"):
-    """What a VM knows of the store.
+    """Answer to :class:`TableRequest`.
 
     Parameters
     ----------
     number : int
         Number of the request.
     store_s : float
-        A store time that is not before the moment of the answer.
+        Store time that is not earlier than the moment of the answer, in s.
     heard_store_s : float
-        A store time at which the shared table was as given.
+        Store time at which the shared table had these contents, in s.
     fleet_version : int
-        Version up to which the shared table is known in full.
+        Version up to which the shared table is complete.
     rows_version : int
         Version of its newest row.
     rows : list of SharedRow
-        Rows that are newer than the version that was asked with.
+        Rows that are newer than the version in the request.
     orders_version : int
         Version of the newest row of the operators' table.
     orders : list of SharedRow
-        Rows that are newer than the version that was asked with.
+        Rows that are newer than the version in the request.
     directory_age_s : float
-        Age of the list of targets.
+        Age of the list of targets, in s.
     directory_change : int
-        Names its contents.
+        Digest of the list.
     targets : list of TargetEntry or None
-        All entries, None if the sender knows the contents.
+        All entries, None if the requester already has this list.
     """
 
     number: int
@@ -169,7 +170,7 @@
 
 
 class TokenRequest(msgspec.Struct, frozen=True, tag="tokens"):
-    """Asks the host of a pool for tokens of a team."""
+    """Requests tokens of a team from the host of a pool."""
 
     number: int
     team: str
@@ -186,9 +187,9 @@
     count : int
         Tokens granted.
     wait_s : float
-        Time until the next token, if there was none.
+        Time until the next token if none was granted, in s.
     detail : str
-        Why there was none.
+        Reason if none was granted.
     """
 
     number: int
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/peer_links.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/peer_links.py
@@ -1,7 +1,7 @@
-"""Links to other VMs: one dialled connection to each, used in both directions.
+"""Connections to other VMs: one for each pair of VMs, used in both directions.
 
-The VM whose name sorts first dials. Silence ends a link, and a fresh one is tried, so
-that a connection that went silent for good is not taken for a dead VM.
+The VM whose name sorts first opens the connection. A connection without traffic is
+closed and opened anew, so that a dead connection is not mistaken for a dead VM.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
     from guavabarrow_core.fleet_state import MemberRow
     from guavabarrow_daemon.session_settings import SessionVmSettings
 
-DIAL_TIMEOUT_S = 0.5
-REDIAL_S = 0.4
-"""Pause between attempts to reach a VM."""
+CONNECT_TIMEOUT_S = 0.5
+RECONNECT_DELAY_S = 0.4
+"""Pause between attempts to connect to a VM."""
 
-SILENCE_LIMIT_MS = 1500
-CONTACT_S = 1.8
-"""A VM is in contact if it was heard within two pulses and a margin."""
+TCP_USER_TIMEOUT_MS = 1500
+LIVENESS_TIMEOUT_S = 1.8
+"""A VM is live if a message arrived within two heartbeat intervals and a margin."""
 
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
@@ -57,9 +57,9 @@
         self.is_open = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Say who speaks."""
+        """Identify this VM to the other end."""
         self.is_open = True
-        set_socket_limits(self.transport, SILENCE_LIMIT_MS)
+        set_socket_limits(self.transport, TCP_USER_TIMEOUT_MS)
         self.send(self._links.hello)
 
     def send(self, message: FleetMessage) -> None:
@@ -67,12 +67,12 @@
         self.send_encoded(ENCODER.encode(message))
 
     def send_encoded(self, data: bytes) -> None:
-        """Send a message that was encoded before."""
+        """Send a message that is already encoded."""
         if self.is_open:
             self.sendString(data)
 
     def stringReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take a message."""
+        """Decode and handle a message."""
         try:
             message = DECODER.decode(data)
         except msgspec.MsgspecError as error:
@@ -88,24 +88,26 @@
             self._links.on_message(self, message)
 
     def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:  # noqa: N802
-        """Forget the link."""
+        """Report the loss of the connection."""
         self.is_open = False
         self._links.on_lost(self)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         if self.is_open:
             self.is_open = False
             self.transport.abortConnection()
 
 
 class PeerLinks(Service):
-    """Links to those VMs that this one should be linked to.
+    """Connections to the VMs that are peers of this one.
 
     Attributes
     ----------
     on_peer_message : list of callable
         Called with the name of the VM and the message.
+    on_peer_up : list of callable
+        Called with the name of a VM that has connected.
     """
 
     name = "peer_links"
@@ -125,78 +127,78 @@
         self._settings = settings
         self._reactor = reactor
         self._link_by_vm: dict[str, PeerLink] = {}
-        self._heard_at: dict[str, float] = {}
+        self._last_message_at: dict[str, float] = {}
         self._incarnation_by_vm: dict[str, str] = {}
-        self._wanted: dict[str, MemberRow] = {}
-        self._dialling: set[str] = set()
-        self._port: Any = None
+        self._peers: dict[str, MemberRow] = {}
+        self._connecting: set[str] = set()
+        self._listening_port: Any = None
         self._is_stopped = False
         self.port = settings.peer_port
 
     async def start(self) -> None:
-        """Listen for other VMs."""
+        """Listen for connections from other VMs."""
         factory = Factory.forProtocol(lambda: PeerLink(self))
-        self._port = self._reactor.listenTCP(
+        self._listening_port = self._reactor.listenTCP(
             self._settings.peer_port, factory, interface=self._settings.host
         )
-        self.port = self._port.getHost().port
+        self.port = self._listening_port.getHost().port
 
     async def stop(self) -> None:
         """Close all links."""
         self._is_stopped = True
-        if self._port is not None:
-            self._port.stopListening()
+        if self._listening_port is not None:
+            self._listening_port.stopListening()
         for link in list(self._link_by_vm.values()):
             link.abort()
 
     def set_peers(self, members: dict[str, MemberRow]) -> None:
-        """Take the VMs to be linked to, and dial those whose link is missing."""
-        self._wanted = members
+        """Replace the set of peers, and connect to those that lack a connection."""
+        self._peers = members
         for vm in list(self._link_by_vm):
             if vm not in members:
                 self._link_by_vm.pop(vm).abort()
         self.dial_missing()
 
     def is_peer(self, vm: str) -> bool:
-        """Tell whether this VM should be linked to another one."""
-        return vm in self._wanted
+        """Return whether another VM is a peer of this one."""
+        return vm in self._peers
 
     def dial_missing(self) -> None:
-        """Dial VMs whose link is missing, and drop links that fell silent."""
+        """Connect to peers that lack a connection, and close those without traffic."""
         now = now_s()
         for vm, link in list(self._link_by_vm.items()):
-            if now - self._heard_at.get(vm, now) > CONTACT_S:
+            if now - self._last_message_at.get(vm, now) > LIVENESS_TIMEOUT_S:
                 link.abort()
-        for vm, member in self._wanted.items():
+        for vm, member in self._peers.items():
             if self.hello.vm < vm and vm not in self._link_by_vm:
-                self._dial(member)
+                self._start_connecting(member)
 
     def live_peers(self) -> frozenset[str]:
-        """Return the VMs that were heard lately."""
-        horizon = now_s() - CONTACT_S
+        """Return the peers from which a message arrived recently."""
+        cutoff = now_s() - LIVENESS_TIMEOUT_S
         return frozenset(
             vm
             for vm, link in self._link_by_vm.items()
-            if link.is_open and self._heard_at.get(vm, horizon) > horizon
+            if link.is_open and self._last_message_at.get(vm, cutoff) > cutoff
         )
 
     def incarnation_of(self, vm: str) -> str:
-        """Return the last seen lifetime of a VM, empty if it was never linked."""
+        """Return the incarnation of a VM's last connection, empty if it had none."""
         return self._incarnation_by_vm.get(vm, "")
 
     def is_linked(self, vm: str) -> bool:
-        """Tell whether a link to a VM is open."""
+        """Return whether a connection to a VM is open."""
         link = self._link_by_vm.get(vm)
         return link is not None and link.is_open
 
     def send(self, vm: str, message: FleetMessage) -> None:
-        """Send a message to one VM, if it is linked."""
+        """Send a message to one VM, if it is connected."""
         link = self._link_by_vm.get(vm)
         if link is not None:
             link.send(message)
 
     def broadcast(self, message: FleetMessage) -> None:
-        """Send a message to all linked VMs."""
+        """Send a message to all connected VMs."""
         data = ENCODER.encode(message)
         for link in list(self._link_by_vm.values()):
             link.send_encoded(data)
@@ -204,54 +206,54 @@
     def broadcast_by_domain(
         self, domain: str, *, inside: FleetMessage, outside: FleetMessage
     ) -> None:
-        """Send one message to linked VMs of a failure domain, another to the others."""
+        """Send one message to the VMs of a failure domain, another to all others."""
         data_inside, data_outside = ENCODER.encode(inside), ENCODER.encode(outside)
         for vm, link in list(self._link_by_vm.items()):
-            member = self._wanted.get(vm)
+            member = self._peers.get(vm)
             is_inside = member is not None and member.domain == domain
             link.send_encoded(data_inside if is_inside else data_outside)
 
     def on_hello(self, link: PeerLink) -> None:
-        """Handle a VM saying who it is; a newer link replaces the older one."""
-        known = self._link_by_vm.get(link.vm)
+        """Register a connection whose VM is identified; it replaces an older one."""
+        previous = self._link_by_vm.get(link.vm)
         self._link_by_vm[link.vm] = link
-        self._heard_at[link.vm] = now_s()
+        self._last_message_at[link.vm] = now_s()
         self._incarnation_by_vm[link.vm] = link.incarnation
-        if known is not None and known is not link:
-            known.abort()
+        if previous is not None and previous is not link:
+            previous.abort()
         log_decision("peer_linked", peer=link.vm, incarnation=link.incarnation)
         for callback in self.on_peer_up:
             callback(link.vm)
 
     def on_message(self, link: PeerLink, message: FleetMessage) -> None:
         """Deliver a message."""
-        self._heard_at[link.vm] = now_s()
+        self._last_message_at[link.vm] = now_s()
         for callback in self.on_peer_message:
             callback(link.vm, message)
 
     def on_lost(self, link: PeerLink) -> None:
-        """Handle the end of a link."""
+        """Remove a connection that was lost."""
         if self._link_by_vm.get(link.vm) is link:
             del self._link_by_vm[link.vm]
             log_decision("peer_lost", peer=link.vm)
 
-    def _dial(self, member: MemberRow) -> None:
-        if member.vm in self._dialling:
+    def _start_connecting(self, member: MemberRow) -> None:
+        if member.vm in self._connecting:
             return
-        self._dialling.add(member.vm)
+        self._connecting.add(member.vm)
         Deferred.fromCoroutine(self._connect(member))
 
     async def _connect(self, member: MemberRow) -> None:
         endpoint = TCP4ClientEndpoint(
-            self._reactor, member.host, member.port, timeout=DIAL_TIMEOUT_S
+            self._reactor, member.host, member.port, timeout=CONNECT_TIMEOUT_S
         )
         try:
             await connectProtocol(endpoint, PeerLink(self, member.vm))
         except Exception as error:
             log_decision("peer_unreachable", peer=member.vm, detail=str(error))
-        self._reactor.callLater(REDIAL_S, self._end_pause, member.vm)
+        self._reactor.callLater(RECONNECT_DELAY_S, self._allow_reconnect, member.vm)
 
-    def _end_pause(self, vm: str) -> None:
-        self._dialling.discard(vm)
+    def _allow_reconnect(self, vm: str) -> None:
+        self._connecting.discard(vm)
         if not self._is_stopped:
             self.dial_missing()
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/rate_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/rate_service.py
@@ -1,4 +1,4 @@
-"""Keeps the rates of teams over all VMs, with the other VMs of the failure domain."""
+"""Enforces team rates over all VMs, in cooperation with the failure domain's VMs."""
 
 from __future__ import annotations
 
@@ -32,54 +32,55 @@
     from guavabarrow_daemon.fleet.fleet_service import HeartbeatDraft
     from guavabarrow_daemon.session_settings import SessionVmSettings
 
-SILENCED_AFTER_S = 9.0
-"""A VM that is out of contact can't reach targets any longer after this time: its right
-to use primaries has lapsed, and its observations are older than any stated age."""
+EXCLUDE_AFTER_S = 9.0
+"""A VM that has been marked unavailable for this long no longer counts as a user of the
+rates. It can't use targets any more: its lease on primaries has expired, and its data
+is older than any staleness bound that a read may state."""
 
 FULL_HEARTBEAT_EVERY = 8
-"""Every so many pulses all demand is told, whatever was missed."""
+"""One in this many heartbeats has the whole demand, to make up for lost changes."""
 
 UNKNOWN_HOST = "?"
-"""Stands for the host of a VM that was linked and has not told it yet."""
+"""Pool host assumed for a connected VM until its first heartbeat arrives."""
 
 GRANT_TIMEOUT_S = 0.15
-"""Many times a crossing and the host's own work; a statement still has most of its
-time left."""
+"""Many times the network latency plus the host's processing time; a statement still has
+most of its deadline left."""
 
 
-class DemandNews:
-    """Finds what changed of a demand since it was told last."""
+class DemandDelta:
+    """Computes the changes of a demand since the last heartbeat."""
 
     def __init__(self) -> None:
-        self._told: dict[str, float] | None = None
-        self._count = 0
-
-    def forget(self) -> None:
-        """Tell everything the next time."""
-        self._told = None
-
-    def take(self, demand_by_team: dict[str, float]) -> dict[str, Any]:
-        """Return the fields of a pulse that tell a demand."""
-        self._count += 1
-        if self._count % FULL_HEARTBEAT_EVERY == 0:
-            self._told = None
-        told, self._told = self._told, demand_by_team
-        known = told or {}
+        self._last_sent: dict[str, float] | None = None
+        self._sent_count = 0
+
+    def reset(self) -> None:
+        """Send the whole demand in the next heartbeat."""
+        self._last_sent = None
+
+    def next_fields(self, demand_by_team: dict[str, float]) -> dict[str, Any]:
+        """Return the heartbeat fields for a demand, and record it as sent."""
+        self._sent_count += 1
+        if self._sent_count % FULL_HEARTBEAT_EVERY == 0:
+            self._last_sent = None
+        last_sent, self._last_sent = self._last_sent, demand_by_team
+        previous = last_sent or {}
         changed = {
             team: demand_by_team.get(team, 0.0)
-            for team in {*demand_by_team, *known}
-            if demand_by_team.get(team, 0.0) != known.get(team)
+            for team in {*demand_by_team, *previous}
+            if demand_by_team.get(team, 0.0) != previous.get(team)
         }
-        return {"is_full": told is None, "demand_by_team": changed}
+        return {"is_full": last_sent is None, "demand_by_team": changed}
 
 
 class RateService(Service):
-    """Rates of teams.
+    """Rate limits of teams.
 
     Attributes
     ----------
     rates : PooledRateLimiter
-        Decides; this service tells it what others said.
+        Makes the decisions, from the messages that this service receives.
     """
 
     name = "rates"
@@ -99,14 +100,14 @@
         )
         self.rates = PooledRateLimiter(settings.vm, settings.domain, tolerance)
         self._domain_by_vm: dict[str, str] = {}
-        self._unheard: set[str] = set()
-        self._news_inside = DemandNews()
-        self._news_outside = DemandNews()
-        self._number = 0
-        self._waiting: dict[int, Deferred[TokenGrant]] = {}
+        self._new_peers: set[str] = set()
+        self._delta_inside = DemandDelta()
+        self._delta_outside = DemandDelta()
+        self._last_number = 0
+        self._pending_requests: dict[int, Deferred[TokenGrant]] = {}
 
     async def start(self) -> None:
-        """Follow configuration, members and the other VMs' demand."""
+        """Subscribe to the configuration, the members and the other VMs' demand."""
         self._links.on_peer_up.append(self._on_peer_up)
         self._links.on_peer_message.append(self._on_message)
         self._fleet.on_orders.append(self._on_orders)
@@ -115,46 +116,46 @@
         self._fleet.heartbeat_fillers.append(self._fill_heartbeat)
 
     async def admit(self, team: str) -> None:
-        """Let an operation start.
+        """Admit an operation.
 
         Raises
         ------
         SessionError
-            If the team is above its rate.
+            If the team exceeds its rate.
         """
         now = now_s()
-        verdict = self.rates.admit(team, now)
-        if verdict is AdmissionDecision.ASK_HOST:
-            verdict = await self._ask_host(team, now)
-        self._metrics.admissions.labels(verdict.value).inc()
-        if verdict is AdmissionDecision.REFUSED:
+        decision = self.rates.admit(team, now)
+        if decision is AdmissionDecision.ASK_HOST:
+            decision = await self._request_token(team, now)
+        self._metrics.admissions.labels(decision.value).inc()
+        if decision is AdmissionDecision.REFUSED:
             self._refuse(self.rates.describe(team), self.rates.wait_s(team))
 
     def return_token(self, team: str) -> None:
         """Return the token of an operation that reached no target."""
         self.rates.return_token(team, now_s())
 
-    async def _ask_host(self, team: str, now: float) -> AdmissionDecision:
+    async def _request_token(self, team: str, now: float) -> AdmissionDecision:
         host = self.rates.host
         if not self._links.is_linked(host):
             self.rates.on_host_unreachable(now)
             return self.rates.admit(team, now)
-        self._number += 1
-        number = self._number
-        answer: Deferred[TokenGrant] = Deferred()
-        answer.addTimeout(GRANT_TIMEOUT_S, self._reactor)
-        self._waiting[number] = answer
+        self._last_number += 1
+        number = self._last_number
+        reply: Deferred[TokenGrant] = Deferred()
+        reply.addTimeout(GRANT_TIMEOUT_S, self._reactor)
+        self._pending_requests[number] = reply
         count = self.rates.tokens_to_request(team, now)
         self._links.send(host, TokenRequest(number, team, count))
         try:
-            grant = await answer
+            grant = await reply
         except TimeoutError:
             now = now_s()
             log_decision("pool_unanswered", host=host, team=team)
             self.rates.on_host_unreachable(now)
             return self.rates.admit(team, now)
         finally:
-            self._waiting.pop(number, None)
+            self._pending_requests.pop(number, None)
         if self.rates.accept_grant(team, grant.count, now_s()):
             return AdmissionDecision.ADMITTED
         self._metrics.admissions.labels(AdmissionDecision.REFUSED.value).inc()
@@ -180,19 +181,19 @@
                     )
                 self._links.send(vm, grant)
             case TokenGrant(number):
-                answer = self._waiting.pop(number, None)
-                if answer is not None and not answer.called:
-                    answer.callback(message)
+                reply = self._pending_requests.pop(number, None)
+                if reply is not None and not reply.called:
+                    reply.callback(message)
 
     def _on_orders(self) -> None:
         if self._fleet.configuration is not None:
             self.rates.configure(self._fleet.configuration.rates())
 
     def _on_peer_up(self, vm: str) -> None:
-        # A VM that is linked anew knows none of the demand told before.
-        self._news_inside.forget()
-        self._news_outside.forget()
-        self._unheard.add(vm)
+        # A newly connected VM has none of the demand that was sent before.
+        self._delta_inside.reset()
+        self._delta_outside.reset()
+        self._new_peers.add(vm)
         self._fleet.send_heartbeat_soon()
 
     def _on_rows(self, rows: list[VersionedRow]) -> None:
@@ -201,68 +202,68 @@
     def _set_members(self) -> None:
         now = now_s()
         state = self._fleet.state
-        near: set[str] = set()
+        local_vms: set[str] = set()
         vms_by_domain: dict[str, int] = {}
         members = state.member_by_vm()
         self._domain_by_vm = {vm: member.domain for vm, member in members.items()}
         for vm, member in members.items():
-            known_out_s = now - state.out_since.get(vm, now)
-            if member.is_out and known_out_s >= SILENCED_AFTER_S:
+            unavailable_s = now - state.out_since.get(vm, now)
+            if member.is_out and unavailable_s >= EXCLUDE_AFTER_S:
                 continue
             if member.domain == self._domain:
-                near.add(vm)
+                local_vms.add(vm)
             else:
                 count = vms_by_domain.get(member.domain, 0)
                 vms_by_domain[member.domain] = count + 1
-        self.rates.set_members(frozenset(near), vms_by_domain)
+        self.rates.set_members(frozenset(local_vms), vms_by_domain)
 
     def _on_heartbeat(self, vm: str, heartbeat: PeerHeartbeat) -> None:
         now = now_s()
-        self._unheard.discard(vm)
+        self._new_peers.discard(vm)
         domain = self._domain_by_vm.get(vm)
         if domain == self._domain:
             self.rates.local.update_peer_demand(
                 vm, heartbeat.demand_by_team, now, is_full=heartbeat.is_full
             )
-            is_news = heartbeat.has_pool != (self.rates.host == vm)
-            if is_news or self._fleet.observer() == self._vm != self.rates.host:
-                self._follow(now)
+            is_changed = heartbeat.has_pool != (self.rates.host == vm)
+            if is_changed or self._fleet.observer() == self._vm != self.rates.host:
+                self._update_pool(now)
         elif domain is not None and heartbeat.has_pool:
             self.rates.update_domain_demand(
                 domain, heartbeat.demand_by_team, now, is_full=heartbeat.is_full
             )
 
-    def _follow(self, now: float) -> None:
+    def _update_pool(self, now: float) -> None:
         if not self._fleet.state.is_registered():
-            # Who the neighbours are is not known yet.
+            # The VMs of this failure domain are not known before registration.
             return
-        former = self.rates.host
+        previous = self.rates.host
         had_pool = self.rates.pool is not None
-        view_by_vm = {}
+        pool_state_by_vm = {}
         for vm in self._links.live_peers():
             if self._domain_by_vm.get(vm) == self._domain:
                 _, heartbeat = self._fleet.last_heartbeat(vm)
-                host = UNKNOWN_HOST if vm in self._unheard else heartbeat.pool_host
-                view_by_vm[vm] = PeerPoolState(host, heartbeat.has_pool)
-        self.rates.update_pool(self._fleet.observer(), view_by_vm, now)
-        if self.rates.host != former:
-            log_decision("pool_host_changed", host=self.rates.host, former=former)
+                host = UNKNOWN_HOST if vm in self._new_peers else heartbeat.pool_host
+                pool_state_by_vm[vm] = PeerPoolState(host, heartbeat.has_pool)
+        self.rates.update_pool(self._fleet.observer(), pool_state_by_vm, now)
+        if self.rates.host != previous:
+            log_decision("pool_host_changed", host=self.rates.host, former=previous)
         if self.rates.pool is not None and not had_pool:
-            self._news_outside.forget()
-        if self.rates.host != former:
+            self._delta_outside.reset()
+        if self.rates.host != previous:
             self._fleet.send_heartbeat_now()
 
     def _fill_heartbeat(self, draft: HeartbeatDraft) -> None:
         now = now_s()
         self._set_members()
-        self._follow(now)
+        self._update_pool(now)
         draft.inside.update(
-            self._news_inside.take(self.rates.local.publish_demand(now))
+            self._delta_inside.next_fields(self.rates.local.publish_demand(now))
         )
         draft.inside["pool_host"] = self.rates.host
         if self.rates.pool is None:
             return
         draft.common["has_pool"] = True
         draft.outside.update(
-            self._news_outside.take(self.rates.pool.publish_demand(now))
+            self._delta_outside.next_fields(self.rates.pool.publish_demand(now))
         )
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/table_relay.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/table_relay.py
@@ -1,9 +1,9 @@
-"""Passes what the store said on between VMs, so that few of them ask it.
+"""Relays the store's contents between VMs, so that only a few VMs read the store.
 
-One VM in each failure domain follows the store and one VM of the fleet reads the list
-of targets. The others ask these VMs, and whoever the store turned away asks any VM that
-knows more. Ages are carried along on the store's clock, so that nothing seems younger
-than it is.
+One VM in each failure domain, the observer, reads the tables, and one VM of the fleet
+reads the list of targets. The other VMs request the contents from these, and a VM that
+can't reach the store requests them from any VM with newer ones. Ages are measured on
+the store's clock, so that relayed contents never appear younger than they are.
 """
 
 from __future__ import annotations
@@ -32,30 +32,31 @@
 if TYPE_CHECKING:
     from guavabarrow_core.fleet_state import VersionedRow
 
-ASK_S = 0.7
-"""Pace at which a VM asks the one that follows the store for it."""
+REQUEST_INTERVAL_S = 0.7
+"""Interval at which a VM requests the tables from its observer."""
 
-ASK_AFTER_S = 1.8
-"""Age of the shared table at which any VM that knows more is asked."""
+STALE_AFTER_S = 1.8
+"""Age of the shared table beyond which any VM with a newer one is asked."""
 
-MIN_GAIN_S = 0.3
-"""A VM is worth asking if it is ahead by this much."""
+MIN_LEAD_S = 0.3
+"""Minimum lead of such a VM; also the minimum pause between the answer of a VM and the
+next request that one of its heartbeats triggers."""
 
-ANSWER_LIMIT_S = 5.0
-"""A VM that has not answered is asked again after this long. A large answer needs
-seconds on a slow link, and asking meanwhile would only make it later."""
+ANSWER_TIMEOUT_S = 5.0
+"""An unanswered request is repeated after this long. A large answer takes seconds on a
+slow link, and repeating the request sooner would only delay it further."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A request that has no answer yet."""
+class PendingRequest:
+    """A request without an answer so far."""
 
     number: int
-    asked_at: float
+    sent_at: float
 
 
 class TableRelay(Service):
-    """Asks other VMs for what the store said, and answers them."""
+    """Requests the store's contents from other VMs, and answers their requests."""
 
     name = "table_relay"
 
@@ -65,48 +66,48 @@
         self._fleet = kernel.find(FleetService)
         self._links = kernel.find(PeerLinks)
         self._directory = kernel.find(DirectoryService)
-        self._ask_by_vm: dict[str, Ask] = {}
+        self._pending_by_vm: dict[str, PendingRequest] = {}
         self._answered_at_by_vm: dict[str, float] = {}
-        self._packed_by_key: dict[str, SharedRow] = {}
-        self._number = 0
-        self._asks: LoopingCall | None = None
+        self._compressed_by_key: dict[str, SharedRow] = {}
+        self._last_number = 0
+        self._request_loop: LoopingCall | None = None
 
     async def start(self) -> None:
-        """Begin to ask."""
+        """Start to send requests."""
         self._links.on_peer_message.append(self._on_message)
-        self._links.on_peer_up.append(self._forget_ask)
-        self._asks = LoopingCall(self._ask_observer)
-        self._asks.clock = self._reactor
-        self._asks.start(ASK_S, now=False)
+        self._links.on_peer_up.append(self._drop_pending)
+        self._request_loop = LoopingCall(self._request_from_observer)
+        self._request_loop.clock = self._reactor
+        self._request_loop.start(REQUEST_INTERVAL_S, now=False)
 
     async def stop(self) -> None:
-        """Stop asking."""
-        if self._asks is not None and self._asks.running:
-            self._asks.stop()
+        """Stop sending requests."""
+        if self._request_loop is not None and self._request_loop.running:
+            self._request_loop.stop()
 
-    def _forget_ask(self, vm: str) -> None:
-        # What was asked on the former link is not answered on this one.
-        self._ask_by_vm.pop(vm, None)
+    def _drop_pending(self, vm: str) -> None:
+        # A request on the previous connection is not answered on the new one.
+        self._pending_by_vm.pop(vm, None)
 
-    def _ask_observer(self) -> None:
+    def _request_from_observer(self) -> None:
         observer = self._fleet.observer()
         if observer != self._fleet.state.vm:
-            self._ask(observer)
+            self._request(observer)
 
-    def _ask(self, vm: str) -> None:
+    def _request(self, vm: str) -> None:
         now = now_s()
-        former = self._ask_by_vm.get(vm)
-        if former is not None and now - former.asked_at < ANSWER_LIMIT_S:
+        pending = self._pending_by_vm.get(vm)
+        if pending is not None and now - pending.sent_at < ANSWER_TIMEOUT_S:
             return
         if not self._links.is_linked(vm):
             return
-        self._number += 1
-        self._ask_by_vm[vm] = Ask(self._number, now)
+        self._last_number += 1
+        self._pending_by_vm[vm] = PendingRequest(self._last_number, now)
         request = TableRequest(
-            self._number,
+            self._last_number,
             self._fleet.state.rows_version,
             self._fleet.orders_row_version,
-            self._directory.change,
+            self._directory.list_digest,
         )
         self._links.send(vm, request)
 
@@ -117,42 +118,42 @@
             case TableRequest():
                 self._answer(vm, message)
             case TableAnswer():
-                self._take(vm, message)
+                self._apply(vm, message)
 
     def _on_heartbeat(self, vm: str, heartbeat: PeerHeartbeat) -> None:
         own_age_s = self._fleet.table_age_s()
-        is_ahead = own_age_s > ASK_AFTER_S and (
-            heartbeat.store_age_s < own_age_s - MIN_GAIN_S
+        is_ahead = own_age_s > STALE_AFTER_S and (
+            heartbeat.store_age_s < own_age_s - MIN_LEAD_S
         )
-        is_guide = vm == self._fleet.observer() or is_ahead
-        is_newer = is_guide and (
+        is_source = vm == self._fleet.observer() or is_ahead
+        is_newer = is_source and (
             heartbeat.rows_version > self._fleet.state.rows_version
             or heartbeat.orders_version > self._fleet.orders_row_version
         )
-        is_newer = is_newer or self._observer_lacks(heartbeat.orders_version)
-        has_targets = self._follow_directory(vm, heartbeat)
-        if not (is_ahead or is_newer or has_targets):
+        is_newer = is_newer or self._observer_lacks_orders(heartbeat.orders_version)
+        needs_targets = self._needs_target_list(vm, heartbeat)
+        if not (is_ahead or is_newer or needs_targets):
             return
-        if now_s() - self._answered_at_by_vm.get(vm, 0.0) > MIN_GAIN_S:
-            self._ask(vm)
+        if now_s() - self._answered_at_by_vm.get(vm, 0.0) > MIN_LEAD_S:
+            self._request(vm)
 
-    def _observer_lacks(self, orders_version: int) -> bool:
-        """Tell whether to take orders from elsewhere: the store may turn it away."""
+    def _observer_lacks_orders(self, orders_version: int) -> bool:
+        """Return whether the observer lacks orders; it may not reach the store."""
         if orders_version <= self._fleet.orders_row_version:
             return False
         observer = self._fleet.observer()
         if observer == self._fleet.state.vm:
             return True
         _, heartbeat = self._fleet.last_heartbeat(observer)
-        return heartbeat.orders_version < orders_version and not self._ask_by_vm
+        return heartbeat.orders_version < orders_version and not self._pending_by_vm
 
-    def _follow_directory(self, vm: str, heartbeat: PeerHeartbeat) -> bool:
+    def _needs_target_list(self, vm: str, heartbeat: PeerHeartbeat) -> bool:
         duty = self._fleet.state.duty()
         is_reader = duty is not None and duty.holder == vm
         if not is_reader or heartbeat.directory_age_s > self._directory.age_s:
             return False
-        if heartbeat.directory_change == self._directory.change:
-            self._directory.confirm_relayed(heartbeat.directory_age_s)
+        if heartbeat.directory_change == self._directory.list_digest:
+            self._directory.confirm_relayed_listing(heartbeat.directory_age_s)
             return False
         return True
 
@@ -162,16 +163,16 @@
             return
         rows_version = fleet.state.rows_version
         rows = [
-            _share(known)
-            for known in fleet.state.row_by_key.values()
-            if known.version > request.rows_version
+            _to_shared_row(row)
+            for row in fleet.state.row_by_key.values()
+            if row.version > request.rows_version
         ]
         orders = [
-            self._pack(row)
+            self._compress(row)
             for row in fleet.order_row_by_key.values()
             if row.version > request.orders_version
         ]
-        is_known = request.directory_change == self._directory.change
+        is_current = request.directory_change == self._directory.list_digest
         answer = TableAnswer(
             number=request.number,
             store_s=fleet.clock.latest_store(now_s()),
@@ -182,32 +183,33 @@
             orders_version=fleet.orders_row_version,
             orders=orders,
             directory_age_s=self._directory.age_s,
-            directory_change=self._directory.change,
-            targets=None if is_known else self._directory.entries(),
+            directory_change=self._directory.list_digest,
+            targets=None if is_current else self._directory.entries(),
         )
         self._links.send(vm, answer)
 
-    def _pack(self, row: SharedRow) -> SharedRow:
-        packed = self._packed_by_key.get(row.key)
-        if packed is None or packed.version != row.version:
-            packed = self._packed_by_key[row.key] = row.pack()
-        return packed
+    def _compress(self, row: SharedRow) -> SharedRow:
+        compressed = self._compressed_by_key.get(row.key)
+        if compressed is None or compressed.version != row.version:
+            compressed = self._compressed_by_key[row.key] = row.compress()
+        return compressed
 
-    def _take(self, vm: str, answer: TableAnswer) -> None:
-        ask = self._ask_by_vm.get(vm)
-        if ask is None or ask.number != answer.number:
+    def _apply(self, vm: str, answer: TableAnswer) -> None:
+        pending = self._pending_by_vm.get(vm)
+        if pending is None or pending.number != answer.number:
             return
-        del self._ask_by_vm[vm]
+        del self._pending_by_vm[vm]
         self._answered_at_by_vm[vm] = now_s()
-        asked_at = ask.asked_at
+        sent_at = pending.sent_at
         try:
-            orders = [row.unpack() for row in answer.orders]
+            orders = [row.decompress() for row in answer.orders]
         except zlib.error as error:
             log_decision("relayed_orders_unreadable", peer=vm, detail=str(error))
             return
-        # The answer was made after the request was sent: its store time bounds ours.
+        # The answer was made after the request was sent, so `sent_at` is a lower bound
+        # for the local time that belongs to its store time.
         self._fleet.clock.observe(
-            store_s=answer.store_s, sent_at=asked_at, received_at=float("inf")
+            store_s=answer.store_s, sent_at=sent_at, received_at=float("inf")
         )
         self._fleet.apply_relayed_table(
             answer.rows,
@@ -218,10 +220,10 @@
         if orders:
             self._fleet.apply_relayed_orders(orders)
         if answer.targets is not None:
-            age_s = answer.directory_age_s + now_s() - asked_at
-            self._directory.take_relayed(answer.targets, age_s)
+            age_s = answer.directory_age_s + now_s() - sent_at
+            self._directory.apply_relayed_listing(answer.targets, age_s)
 
 
-def _share(known: VersionedRow) -> SharedRow:
-    value = None if known.row is None else encode_row(known.row)
-    return SharedRow(known.key, known.version, value)
+def _to_shared_row(row: VersionedRow) -> SharedRow:
+    value = None if row.row is None else encode_row(row.row)
+    return SharedRow(row.key, row.version, value)
--- a/packages/guavabarrow-daemon/tests/sim_fleet.py
+++ b/packages/guavabarrow-daemon/tests/sim_fleet.py
@@ -132,7 +132,7 @@
             evidence = "answered" if target.is_alive else "refused"
             if not self._questions.reaches(target):
                 evidence = "silent"
-            directory.note_evidence(target_id, evidence)
+            directory.record_evidence(target_id, evidence)
 
 
 class SimFleet:
