--- a/packages/guavabarrow-daemon/tests/sim_fleet.py
+++ b/packages/guavabarrow-daemon/tests/sim_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of VMs under virtual time that judges which primaries they would use."""
+"""Simulated fleet of VMs in virtual time, which checks which primaries the VMs use."""
 
 from __future__ import annotations
 
@@ -40,17 +40,17 @@
     from collections.abc import Callable
 
 STEP_S = 0.01
-TRAFFIC_S = 0.05
-"""Pace at which a VM's callers would use the primary."""
+STATEMENT_INTERVAL_S = 0.05
+"""Interval at which each VM simulates the use of its primary by callers."""
 
 DOMAINS = ("east", "north", "west")
 
 
 class SimVm:
-    """One VM without callers; its callers are what the fleet asks it."""
+    """A VM without callers; the simulation polls which primary it would use."""
 
     def __init__(
-        self, fleet: SimFleet, name: str, domain: str, lifetime: int, host: str
+        self, fleet: SimFleet, name: str, domain: str, start_number: int, host: str
     ) -> None:
         self.name = name
         self.domain = domain
@@ -72,7 +72,7 @@
         reactor = self.reactor
         kernel.register(SessionMetrics(kernel))
         kernel.register(
-            PeerLinks(kernel, settings, reactor, incarnation=f"{name}.{lifetime}")
+            PeerLinks(kernel, settings, reactor, incarnation=f"{name}.{start_number}")
         )
         kernel.register(
             FleetService(
@@ -81,7 +81,7 @@
                 SimTable(fleet.store, reactor),
                 SimOrders(fleet.operator_store, reactor),
                 reactor,
-                incarnation=f"{name}.{lifetime}",
+                incarnation=f"{name}.{start_number}",
             )
         )
         kernel.register(
@@ -103,18 +103,18 @@
         kernel.find(PrimaryWatch)._questions = self._questions
         kernel.find(PromotionService)._questions = self._questions
         Deferred.fromCoroutine(kernel.start())
-        self._traffic = LoopingCall(self._use_primary)
-        self._traffic.clock = reactor
-        self._traffic.start(TRAFFIC_S)
+        self._statement_loop = LoopingCall(self._use_primary)
+        self._statement_loop.clock = reactor
+        self._statement_loop.start(STATEMENT_INTERVAL_S)
 
     def primary(self) -> str:
-        """Return the primary that a statement would go to now, empty if none."""
+        """Return the primary that a statement would use now, empty if none."""
         entry = self.kernel.find(PrimaryService).primary(SERVICE)
         return entry.target_id if entry is not None else ""
 
     @property
     def configuration_version(self) -> int:
-        """Version in force, 0 if none."""
+        """Configuration version in force, 0 if none."""
         configuration = self.kernel.find(FleetService).configuration
         return configuration.version if configuration is not None else 0
 
@@ -130,18 +130,18 @@
             if target.target_id != target_id:
                 continue
             evidence = "answered" if target.is_alive else "refused"
-            if not self._questions.reaches(target):
+            if not self._questions.can_reach(target):
                 evidence = "silent"
             directory.record_evidence(target_id, evidence)
 
 
 class SimFleet:
-    """VMs in three failure domains with a target in each.
+    """VMs in three failure domains, with one target in each.
 
     Attributes
     ----------
     stale_primary_uses : list of str
-        Moments at which a VM would have used a primary after another one led.
+        Descriptions of each use of a primary after another target became the leader.
     """
 
     def __init__(self, monkeypatch, per_domain: int = 3) -> None:
@@ -154,25 +154,25 @@
             SimTarget(f"target-{domain}", domain, f"target-{domain}", domain == "north")
             for domain in DOMAINS
         ]
-        targets[1].term_led = 1
+        targets[1].primary_term = 1
         self.group = SimGroup(self.network, self.store, targets)
         self.vm_by_name: dict[str, SimVm] = {}
         self.stale_primary_uses: list[str] = []
-        self._lifetimes = 0
-        steady = SimpleNamespace(
+        self._starts = 0
+        virtual_clock = SimpleNamespace(
             CLOCK_BOOTTIME=0, clock_gettime=lambda clock_id: self.network.now
         )
-        monkeypatch.setattr(clock, "time", steady)
+        monkeypatch.setattr(clock, "time", virtual_clock)
         for domain in DOMAINS:
             for number in range(per_domain):
                 self.start(f"{domain}-{number}")
 
     def start(self, name: str, host: str = "") -> None:
-        """Start a VM, or the next lifetime of one that was killed."""
-        self._lifetimes += 1
+        """Start a VM, or restart one that was killed."""
+        self._starts += 1
         domain = name.split("-")[0]
-        lifetime = self._lifetimes
-        self.vm_by_name[name] = SimVm(self, name, domain, lifetime, host or name)
+        start_number = self._starts
+        self.vm_by_name[name] = SimVm(self, name, domain, start_number, host or name)
 
     def kill(self, name: str) -> None:
         """End a VM's process."""
@@ -180,85 +180,89 @@
         self.network.kill(vm.host if vm is not None else name)
 
     def run(self, duration_s: float) -> None:
-        """Let time pass and judge every VM at each step, suspended ones included."""
+        """Advance time, and check all VMs at each step, including suspended ones."""
         until = self.network.now + duration_s
         while self.network.now < until:
             self.network.advance(STEP_S)
-            self._judge()
+            self._check_primaries()
 
     def run_until(self, condition: Callable[[], bool], limit_s: float) -> float:
-        """Let time pass until a condition holds, and return how long that took."""
-        began_at = self.network.now
+        """Advance time until a condition holds, and return how long that took."""
+        started_at = self.network.now
         while not condition():
-            assert self.network.now - began_at < limit_s, "it did not happen in time"
+            assert self.network.now - started_at < limit_s, (
+                "the condition did not hold in time"
+            )
             self.network.advance(STEP_S)
-            self._judge()
-        return self.network.now - began_at
+            self._check_primaries()
+        return self.network.now - started_at
 
     def is_serving(self, target_id: str = "") -> bool:
-        """Tell whether all VMs may use the leader, or a given target."""
-        wanted = target_id or self.group.leader.target_id
-        leads = self.group.leader.target_id == wanted and self.group.leader.is_alive
-        return leads and all(vm.primary() == wanted for vm in self.vm_by_name.values())
+        """Return whether all VMs use the live leader, or a given target that leads."""
+        expected = target_id or self.group.leader.target_id
+        leads = self.group.leader.target_id == expected and self.group.leader.is_alive
+        return leads and all(
+            vm.primary() == expected for vm in self.vm_by_name.values()
+        )
 
     def has_configuration(self, version: int) -> bool:
-        """Tell whether a configuration is in force at all VMs."""
-        known = (vm.configuration_version for vm in self.vm_by_name.values())
-        return all(other >= version for other in known)
+        """Return whether all VMs have this configuration version or a newer one."""
+        versions = (vm.configuration_version for vm in self.vm_by_name.values())
+        return all(current >= version for current in versions)
 
     def wait_until_serving(self) -> None:
-        """Wait until the fleet serves writes everywhere."""
+        """Advance time until all VMs use the leader."""
         self.run_until(self.is_serving, 15.0)
 
     def isolate_domain(self, domain: str, *, from_store: bool = True) -> None:
-        """Cut a failure domain's VMs and target off from everything outside of it."""
+        """Isolate a failure domain's VMs and target from all hosts outside of it."""
         inside = {
             *(name for name in self._hosts() if name.startswith(f"{domain}-")),
             f"target-{domain}",
         }
-        self._cut(lambda host: host in inside, keeps_store=not from_store)
+        self._isolate(lambda host: host in inside, except_store=not from_store)
 
     def isolate_vm(self, name: str) -> None:
-        """Cut one VM off from everything."""
-        self._cut(lambda host: host == name)
+        """Isolate one VM from all other hosts."""
+        self._isolate(lambda host: host == name)
 
     def heal(self) -> None:
-        """End all cuts."""
-        self.network.is_blocked = lambda one, other: False
+        """End all partitions."""
+        self.network.is_blocked = lambda source, destination: False
 
     def target(self, domain: str) -> SimTarget:
         """Return the target of a failure domain."""
         return next(t for t in self.group.targets if t.domain == domain)
 
     def holder(self) -> str:
-        """Return the VM that may order promotions, empty if none."""
+        """Return the VM that holds the promotion duty, empty if none."""
         holders = [vm.name for vm in self.vm_by_name.values() if vm.holds_duty]
         return holders[0] if holders else ""
 
     def assert_invariants(self) -> None:
-        """Check what must hold at all times."""
+        """Check the uses of primaries, and the holders and order of fencing tokens."""
         assert self.stale_primary_uses == []
         holder_by_token: dict[int, str] = {}
         newest = 0
         for holder, token in self.group.promotion_calls:
             assert holder_by_token.setdefault(token, holder) == holder
-            assert token >= newest, "an older fencing token came after a newer one"
+            assert token >= newest, "a fencing token is older than the one before"
             newest = token
 
     def _hosts(self) -> list[str]:
         return list(self.vm_by_name)
 
-    def _cut(self, is_inside: Callable[[str], bool], *, keeps_store=False) -> None:
-        def is_blocked(one: str, other: str) -> bool:
-            if keeps_store and STORE_HOST in (one, other):
+    def _isolate(self, is_inside: Callable[[str], bool], *, except_store=False) -> None:
+        def is_blocked(source: str, destination: str) -> bool:
+            if except_store and STORE_HOST in (source, destination):
                 return False
-            return is_inside(one) != is_inside(other)
+            return is_inside(source) != is_inside(destination)
 
         self.network.is_blocked = is_blocked
 
-    def _judge(self) -> None:
+    def _check_primaries(self) -> None:
         for target in self.group.targets:
-            self.group.last_beat(target)
+            self.group.last_renewal(target)
         leader = self.group.leader.target_id
         for vm in self.vm_by_name.values():
             used = vm.primary()
--- a/packages/guavabarrow-daemon/tests/sim_network.py
+++ b/packages/guavabarrow-daemon/tests/sim_network.py
@@ -1,7 +1,8 @@
-"""Connections in memory under virtual time, with cuts, silence and suspended hosts.
+"""In-memory network in virtual time, with partitions, black holes and suspended hosts.
 
-Each host has a reactor of its own, so that it can be suspended alone. Bytes that a cut
-holds back arrive when it heals in time; otherwise both ends lose the connection.
+Each host has a separate reactor, so that it can be suspended alone. Bytes that a
+partition holds back arrive if it heals in time; otherwise both ends lose the
+connection.
 """
 
 from __future__ import annotations
@@ -23,26 +24,27 @@
 
 LATENCY_S = 0.002
 RETRANSMIT_S = 0.1
-SILENCE_LIMIT_S = 1.5
-"""Bytes that are held back for this long end a connection."""
+UNACKED_TIMEOUT_S = 1.5
+"""Bytes that are held back for longer than this end a connection."""
 
 
 class SimNetwork:
-    """All hosts and what separates them.
+    """All hosts, and the faults of the network between them.
 
     Attributes
     ----------
     is_blocked : callable
-        Tells whether nothing passes from one host to another.
+        Called with two hosts, returns whether nothing passes from the first to the
+        second.
     resets_connections : bool
-        Whether a cut refuses connections instead of leaving them unanswered.
+        Whether a partition refuses and resets connections instead of dropping packets.
     bytes_per_s_by_host : dict of str to float
-        What the link of a host carries in each direction; unlimited if missing.
+        Bandwidth of a host's link in each direction; unlimited if missing.
     """
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.is_blocked: Callable[[str, str], bool] = lambda one, other: False
+        self.is_blocked: Callable[[str, str], bool] = lambda source, destination: False
         self.resets_connections = False
         self.reactor_by_host: dict[str, SimReactor] = {}
         self.suspended: set[str] = set()
@@ -52,21 +54,21 @@
         self._busy_until: dict[tuple[str, str], float] = {}
 
     def reactor(self, host: str) -> SimReactor:
-        """Return the reactor of a new host, or of one that starts again."""
+        """Return the reactor of a new or restarted host."""
         reactor = SimReactor(self, host)
         reactor.advance(self.now)
         self.reactor_by_host[host] = reactor
         return reactor
 
     def advance(self, duration_s: float) -> None:
-        """Let time pass on all hosts that are not suspended."""
+        """Advance the time of all hosts that are not suspended."""
         self.now += duration_s
         for host, reactor in list(self.reactor_by_host.items()):
             if host not in self.suspended:
                 reactor.advance(self.now - reactor.seconds())
 
-    def crossing_s(self, host: str, peer_host: str, size: int) -> float:
-        """Return how long bytes need through the queues of both links."""
+    def transfer_s(self, host: str, peer_host: str, size: int) -> float:
+        """Return how long a message takes through the queues of both links, in s."""
         done_at = self.now
         for link in ((host, "out"), (peer_host, "in")):
             rate = self.bytes_per_s_by_host.get(link[0])
@@ -76,20 +78,20 @@
         return done_at - self.now
 
     def kill(self, host: str) -> None:
-        """End a host's process: its connections are reset, nothing listens."""
+        """End a host's process: its connections are reset and its ports closed."""
         self.reactor_by_host.pop(host, None)
         for address in list(self.factory_by_address):
             if address[0] == host:
                 del self.factory_by_address[address]
         for transport in list(self.transports):
             if transport.host == host:
-                transport.lose(ConnectionLost(), tells_own=False)
+                transport.close_both_ends(ConnectionLost(), notify_own=False)
 
     def blackhole_connections(self, host: str) -> None:
-        """Let a host's present connections go silent for good."""
+        """Drop all further bytes on the current connections of a host, for good."""
         for transport in self.transports:
             if host in (transport.host, transport.peer_host):
-                transport.is_silent = True
+                transport.is_blackholed = True
 
 
 class SimReactor(Clock):
@@ -101,12 +103,12 @@
         self.host = host
 
     @property
-    def is_gone(self) -> bool:
-        """Whether the host's process was ended."""
+    def has_ended(self) -> bool:
+        """Whether the host's process has ended."""
         return self.network.reactor_by_host.get(self.host) is not self
 
     def listenTCP(self, port, factory, backlog=50, interface=""):  # noqa: N802
-        """Take connections."""
+        """Listen on a port."""
         self.network.factory_by_address[self.host, port] = factory
         return SimPort(self, port)
 
@@ -138,43 +140,45 @@
         return IPv4Address("TCP", self._reactor.host, self._port)
 
     def stopListening(self) -> None:  # noqa: N802
-        """Take no more connections."""
+        """Stop listening."""
         self._reactor.network.factory_by_address.pop(
             (self._reactor.host, self._port), None
         )
 
 
 class SimConnector:
-    """One attempt to connect."""
+    """One connection attempt."""
 
     def __init__(self, reactor, host, port, factory, timeout) -> None:
         self._reactor = reactor
         self._address = (host, port)
         self._factory = factory
-        self._until = reactor.seconds() + timeout
-        self._is_over = False
+        self._deadline = reactor.seconds() + timeout
+        self._is_done = False
 
     def getDestination(self) -> IPv4Address:  # noqa: N802
-        """Return where to."""
+        """Return the address of the attempt."""
         return IPv4Address("TCP", *self._address)
 
     def stopConnecting(self) -> None:  # noqa: N802
-        """Give up."""
-        self._is_over = True
+        """Abandon the attempt."""
+        self._is_done = True
 
     def connect(self) -> None:
-        """Try after one crossing."""
+        """Make the first attempt after one network latency."""
         self._reactor.callLater(LATENCY_S, self._try)
 
     def _try(self) -> None:
-        if self._is_over or self._reactor.is_gone:
+        if self._is_done or self._reactor.has_ended:
             return
         network = self._reactor.network
         host = self._address[0]
-        own = self._reactor.host
-        is_blocked = network.is_blocked(own, host) or network.is_blocked(host, own)
+        own_host = self._reactor.host
+        is_blocked = network.is_blocked(own_host, host) or network.is_blocked(
+            host, own_host
+        )
         if (is_blocked and not network.resets_connections) or host in network.suspended:
-            if self._reactor.seconds() >= self._until:
+            if self._reactor.seconds() >= self._deadline:
                 self._fail(TimeoutError())
             else:
                 self._reactor.callLater(RETRANSMIT_S, self._try)
@@ -183,17 +187,17 @@
         if is_blocked or factory is None:
             self._fail(ConnectionRefusedError())
             return
-        self._is_over = True
-        near = SimTransport(self._reactor, host)
-        far = SimTransport(network.reactor_by_host[host], own)
-        near.peer, far.peer = far, near
+        self._is_done = True
+        client_end = SimTransport(self._reactor, host)
+        server_end = SimTransport(network.reactor_by_host[host], own_host)
+        client_end.peer, server_end.peer = server_end, client_end
         client = self._factory.buildProtocol(self.getDestination())
-        server = factory.buildProtocol(IPv4Address("TCP", own, 1))
-        near.attach(client)
-        far.attach(server)
+        server = factory.buildProtocol(IPv4Address("TCP", own_host, 1))
+        client_end.attach(client)
+        server_end.attach(server)
 
     def _fail(self, error: Exception) -> None:
-        self._is_over = True
+        self._is_done = True
         self._factory.clientConnectionFailed(self, Failure(error))
 
 
@@ -204,16 +208,16 @@
         self.host = reactor.host
         self.peer_host = peer_host
         self.peer: SimTransport
-        self.is_silent = False
+        self.is_blackholed = False
         self.is_open = True
         self.disconnecting = False
         self._reactor = reactor
         self._protocol: Any = None
-        self._held_since: float | None = None
+        self._blocked_since: float | None = None
         self._outgoing: list[bytes] = []
 
     def attach(self, protocol: Any) -> None:
-        """Give the transport its protocol."""
+        """Connect the transport to its protocol."""
         self._protocol = protocol
         self._reactor.network.transports.add(self)
         protocol.makeConnection(self)
@@ -231,72 +235,75 @@
         self.write(b"".join(chunks))
 
     def loseConnection(self) -> None:  # noqa: N802
-        """Close after what was written."""
-        self._reactor.callLater(2 * LATENCY_S, self.lose, ConnectionDone())
+        """Close after all written bytes were sent."""
+        self._reactor.callLater(2 * LATENCY_S, self.close_both_ends, ConnectionDone())
 
     def abortConnection(self) -> None:  # noqa: N802
-        """Close at once."""
-        self.lose(ConnectionLost())
+        """Close immediately."""
+        self.close_both_ends(ConnectionLost())
 
-    def lose(self, error: Exception, *, tells_own: bool = True) -> None:
-        """End both ends; the other one hears of it unless it can't."""
+    def close_both_ends(self, error: Exception, *, notify_own: bool = True) -> None:
+        """Close both ends, the peer's after a timeout if packets are dropped."""
         if not self.is_open:
             return
         network = self._reactor.network
-        self._end(error, tells=tells_own)
-        is_blocked = network.is_blocked(self.host, self.peer_host) or self.is_silent
+        self._close(error, notify=notify_own)
+        is_blocked = network.is_blocked(self.host, self.peer_host) or self.is_blackholed
         delay = (
-            SILENCE_LIMIT_S
+            UNACKED_TIMEOUT_S
             if is_blocked and not network.resets_connections
             else LATENCY_S
         )
         peer = self.peer
-        peer._reactor.callLater(delay, peer._end, ConnectionLost())
+        peer._reactor.callLater(delay, peer._close, ConnectionLost())
 
     def setTcpNoDelay(self, enabled) -> None:  # noqa: N802
-        """Ignored."""
+        """Do nothing."""
 
     def setTcpKeepAlive(self, enabled) -> None:  # noqa: N802
-        """Ignored."""
+        """Do nothing."""
 
     def getHandle(self):  # noqa: N802
-        """Return an object that takes socket options."""
+        """Return an object that accepts socket options."""
         return self
 
     def setsockopt(self, *options) -> None:
-        """Ignored."""
+        """Do nothing."""
 
     def getPeer(self) -> IPv4Address:  # noqa: N802
-        """Return the other end's address."""
+        """Return the address of the other end."""
         return IPv4Address("TCP", self.peer_host, 1)
 
     def _deliver(self) -> None:
-        if not self.is_open or not self._outgoing or self._reactor.is_gone:
+        if not self.is_open or not self._outgoing or self._reactor.has_ended:
             return
         network = self._reactor.network
-        if network.is_blocked(self.host, self.peer_host) or self.is_silent:
+        if network.is_blocked(self.host, self.peer_host) or self.is_blackholed:
             now = network.now
-            if self._held_since is None:
-                self._held_since = now
-            if network.resets_connections or now - self._held_since > SILENCE_LIMIT_S:
-                self.lose(ConnectionLost())
+            if self._blocked_since is None:
+                self._blocked_since = now
+            if (
+                network.resets_connections
+                or now - self._blocked_since > UNACKED_TIMEOUT_S
+            ):
+                self.close_both_ends(ConnectionLost())
                 return
             self._reactor.callLater(RETRANSMIT_S, self._deliver)
             return
-        self._held_since = None
+        self._blocked_since = None
         data, self._outgoing = b"".join(self._outgoing), []
-        # A suspended peer takes it when it wakes.
-        delay_s = network.crossing_s(self.host, self.peer_host, len(data))
+        # A suspended peer receives it when it resumes.
+        delay_s = network.transfer_s(self.host, self.peer_host, len(data))
         self.peer._reactor.callLater(delay_s, self.peer._receive, data)
 
     def _receive(self, data: bytes) -> None:
-        if self.is_open and not self._reactor.is_gone:
+        if self.is_open and not self._reactor.has_ended:
             self._protocol.dataReceived(data)
 
-    def _end(self, error: Exception, *, tells: bool = True) -> None:
+    def _close(self, error: Exception, *, notify: bool = True) -> None:
         if not self.is_open:
             return
         self.is_open = False
         self._reactor.network.transports.discard(self)
-        if tells and self._protocol is not None and not self._reactor.is_gone:
+        if notify and self._protocol is not None and not self._reactor.has_ended:
             self._protocol.connectionLost(Failure(error))
--- a/packages/guavabarrow-daemon/tests/sim_platform.py
+++ b/packages/guavabarrow-daemon/tests/sim_platform.py
@@ -1,4 +1,4 @@
-"""Platform and targets in memory under virtual time, with their troubles."""
+"""In-memory platform and targets in virtual time, with injected faults."""
 
 from __future__ import annotations
 
@@ -28,33 +28,33 @@
 if TYPE_CHECKING:
     from sim_network import SimNetwork, SimReactor
 
-CALL_S = 0.004
+CALL_LATENCY_S = 0.004
 BASE64_GROWTH = 4 / 3
-TIMEOUT_S = 1.0
-POLL_S = 0.02
-PROMOTION_S = 0.3
+CALL_TIMEOUT_S = 1.0
+POLL_INTERVAL_S = 0.02
+PROMOTION_DELAY_S = 0.3
 STORE_HOST = "store"
-BEAT_S = 1.2
-ENTRY_LAG_S = 2.0
+RENEWAL_INTERVAL_S = 1.2
+ENTRY_TTL_S = 2.0
 SERVICE = "orders"
 CONFIGURATION_KEY = "configuration"
 
 
 class SimStore:
-    """The platform's table.
+    """A table of the platform's store.
 
     Attributes
     ----------
     unreachable_from : set of str
-        Hosts that get no answer.
+        Hosts whose calls are not answered.
     write_delay_s : float
-        How long writes take effect after their caller has given up, 0 for at once.
+        Delay after which writes take effect while their callers time out, 0 for none.
     drops_write_replies : bool
-        Whether answers to writes are lost.
+        Whether writes take effect but their answers are lost.
     extra_latency_s : float
-        How much longer each call takes.
+        Additional duration of each call.
     compacted_version : int
-        Changes up to this version are no longer known.
+        Changes up to this version are dropped from the history.
     """
 
     def __init__(self, network: SimNetwork) -> None:
@@ -67,8 +67,8 @@
         self.extra_latency_s = 0.0
         self.compacted_version = 0
 
-    def answers(self, host: str) -> bool:
-        """Tell whether a host gets answers."""
+    def is_reachable_from(self, host: str) -> bool:
+        """Return whether calls of a host are answered."""
         is_blocked = self.network.is_blocked
         return not (
             host in self.unreachable_from
@@ -77,17 +77,17 @@
         )
 
     def apply(self, key: str, value: bytes | None, expected: int) -> Written:
-        """Write a row under its condition."""
-        known = self.row_by_key.get(key)
-        current = known.version if known is not None and known.value is not None else 0
+        """Write a row if its current version is the expected one."""
+        row = self.row_by_key.get(key)
+        current = row.version if row is not None and row.value is not None else 0
         if current != expected:
             return Written(False, 0, self.network.now)
         self.version += 1
         self.row_by_key[key] = TableRow(key, value, self.version)
         return Written(True, self.version, self.network.now)
 
-    def reading(self, after: int, *, with_dropped: bool) -> TableReading:
-        """Return rows that changed after a version."""
+    def read_after(self, after: int, *, with_dropped: bool) -> TableReading:
+        """Return the rows that changed after a version."""
         rows = [
             row
             for row in self.row_by_key.values()
@@ -97,7 +97,7 @@
 
 
 class SimTable(WatchedTable):
-    """One VM's client of the table."""
+    """A VM's client of a table."""
 
     def __init__(self, store: SimStore, reactor: SimReactor) -> None:
         self._store = store
@@ -105,18 +105,20 @@
 
     async def read(self) -> TableReading:
         """Read all rows."""
-        await self._reach()
-        return await self._return(self._store.reading(0, with_dropped=False))
+        await self._send_request()
+        return await self._receive_answer(self._store.read_after(0, with_dropped=False))
 
     async def watch(self, after: int, wait_s: float) -> TableReading:
         """Wait for changes."""
-        await self._reach()
+        await self._send_request()
         if after < self._store.compacted_version:
             raise HistoryDropped
         until = self._reactor.seconds() + wait_s
         while self._store.version <= after and self._reactor.seconds() < until:
-            await self._pause(POLL_S)
-        return await self._return(self._store.reading(after, with_dropped=True))
+            await self._pause(POLL_INTERVAL_S)
+        return await self._receive_answer(
+            self._store.read_after(after, with_dropped=True)
+        )
 
     async def write(self, key: str, value: bytes | None, expected: int) -> Written:
         """Write a row."""
@@ -124,28 +126,28 @@
         if store.write_delay_s > 0.0:
             clock = store.network.reactor_by_host[STORE_HOST]
             clock.callLater(store.write_delay_s, store.apply, key, value, expected)
-            await self._pause(TIMEOUT_S)
+            await self._pause(CALL_TIMEOUT_S)
             raise StoreUnavailable("no answer", is_undone=False)
-        await self._reach()
+        await self._send_request()
         written = store.apply(key, value, expected)
         if store.drops_write_replies:
-            await self._pause(TIMEOUT_S)
+            await self._pause(CALL_TIMEOUT_S)
             raise StoreUnavailable("the answer was lost", is_undone=False)
-        return await self._return(written)
+        return await self._receive_answer(written)
 
-    async def _reach(self) -> None:
-        if not self._store.answers(self._reactor.host):
-            await self._pause(TIMEOUT_S)
+    async def _send_request(self) -> None:
+        if not self._store.is_reachable_from(self._reactor.host):
+            await self._pause(CALL_TIMEOUT_S)
             raise StoreUnavailable("no answer", is_undone=True)
-        await self._pause(CALL_S / 2 + self._store.extra_latency_s)
+        await self._pause(CALL_LATENCY_S / 2 + self._store.extra_latency_s)
 
-    async def _return(self, answer: Any) -> Any:
+    async def _receive_answer(self, answer: Any) -> Any:
         rows = answer.rows if isinstance(answer, TableReading) else []
         size = 200 + sum(len(row.value or b"") for row in rows) * BASE64_GROWTH
         host = self._reactor.host
-        crossing_s = self._store.network.crossing_s(STORE_HOST, host, int(size))
-        await self._pause(CALL_S / 2 + crossing_s)
-        if not self._store.answers(self._reactor.host):
+        transfer_s = self._store.network.transfer_s(STORE_HOST, host, int(size))
+        await self._pause(CALL_LATENCY_S / 2 + transfer_s)
+        if not self._store.is_reachable_from(self._reactor.host):
             raise StoreUnavailable("no answer", is_undone=False)
         return answer
 
@@ -154,13 +156,13 @@
 
 
 class SimOrders(OperatorSource):
-    """Operators' table: one row that holds a configuration of some size."""
+    """The operators' table: one row with a configuration of a given size."""
 
     def __init__(self, store: SimStore, reactor: SimReactor) -> None:
         self._table = SimTable(store, reactor)
 
     async def read(self) -> tuple[OperatorOrders | None, TableReading]:
-        """Read everything."""
+        """Read the whole table."""
         reading = await self._table.read()
         return self.decode(reading.rows), reading
 
@@ -172,7 +174,7 @@
         return self.decode(reading.rows), reading
 
     def decode(self, rows: list[TableRow]) -> OperatorOrders | None:
-        """Translate the row, whose version is the configuration's."""
+        """Decode the row; its version is the version of the configuration."""
         versions = [row.version for row in rows if row.key == CONFIGURATION_KEY]
         if not versions:
             return None
@@ -192,22 +194,22 @@
 
 @dataclass
 class SimTarget:
-    """One target of the group."""
+    """A target of the group."""
 
     target_id: str
     domain: str
     host: str
     is_primary: bool
     term: int = 1
-    term_led: int = 0
+    primary_term: int = 0
     is_alive: bool = True
-    beat_at: float = 0.0
+    renewed_at: float = 0.0
     is_unregistered: bool = False
 
 
 @dataclass
 class SimGroup:
-    """A service of three targets, and the call that promotes one."""
+    """A service of three targets, and the promotions that were requested."""
 
     network: SimNetwork
     store: SimStore
@@ -216,11 +218,13 @@
 
     @property
     def leader(self) -> SimTarget:
-        """Target whose term is the newest among those that ever led."""
-        return max((t for t in self.targets if t.term_led), key=lambda t: t.term_led)
+        """Target that most recently became the primary, by its term."""
+        return max(
+            (t for t in self.targets if t.primary_term), key=lambda t: t.primary_term
+        )
 
-    def last_beat(self, target: SimTarget) -> float:
-        """Return when a target last wrote its entry."""
+    def last_renewal(self, target: SimTarget) -> float:
+        """Return when a target last renewed its entry."""
         is_blocked = self.network.is_blocked
         if (
             target.is_alive
@@ -230,29 +234,29 @@
                 or is_blocked(STORE_HOST, target.host)
             )
         ):
-            target.beat_at = self.network.now - self.network.now % BEAT_S
-        return target.beat_at
+            target.renewed_at = self.network.now - self.network.now % RENEWAL_INTERVAL_S
+        return target.renewed_at
 
     def crash(self, target: SimTarget) -> None:
         """End a target's process."""
         target.is_alive = False
 
     def restart(self, target: SimTarget) -> None:
-        """Start it again; it follows whoever leads."""
+        """Start a target again; it becomes a replica unless it is the leader."""
         target.is_alive = True
         if self.leader is not target:
             target.is_primary = False
 
-    def lead(self, target: SimTarget) -> None:
-        """Let a promotion take effect."""
+    def complete_promotion(self, target: SimTarget) -> None:
+        """Make a target the primary of a new term, unless it is down."""
         if not target.is_alive or target is self.leader:
             return
         target.is_primary = True
-        target.term = target.term_led = max(t.term for t in self.targets) + 1
+        target.term = target.primary_term = max(t.term for t in self.targets) + 1
 
 
 class SimDirectory(DirectorySource):
-    """List of registered targets, which lags."""
+    """List of registered targets; entries expire with a delay."""
 
     def __init__(self, group: SimGroup, reactor: SimReactor) -> None:
         self._group = group
@@ -274,13 +278,13 @@
                 target.is_primary,
             )
             for target in self._group.targets
-            if now - self._group.last_beat(target) < ENTRY_LAG_S
+            if now - self._group.last_renewal(target) < ENTRY_TTL_S
         ]
         return entries, []
 
 
 class SimAuthority(PromotionAuthority):
-    """The call that promotes; it answers before the promotion takes effect."""
+    """Promotes targets; answers before the promotion takes effect."""
 
     def __init__(self, group: SimGroup, reactor: SimReactor) -> None:
         self._group = group
@@ -289,43 +293,45 @@
     async def promote(
         self, service: str, target_id: str, *, holder: str, fencing_token: int
     ) -> None:
-        """Order a promotion."""
+        """Request a promotion."""
         group = self._group
         target = next(t for t in group.targets if t.target_id == target_id)
-        await deferLater(self._reactor, CALL_S, lambda: None)
+        await deferLater(self._reactor, CALL_LATENCY_S, lambda: None)
         group.promotion_calls.append((holder, fencing_token))
         if not target.is_alive:
             raise PromotionRefused(target_id)
         clock = group.network.reactor_by_host[STORE_HOST]
-        clock.callLater(PROMOTION_S, group.lead, target)
+        clock.callLater(PROMOTION_DELAY_S, group.complete_promotion, target)
 
 
 class SimQuestions:
-    """Questions to targets without connections."""
+    """Queries to targets, without real connections."""
 
     def __init__(self, group: SimGroup, reactor: SimReactor) -> None:
         self._group = group
         self._reactor = reactor
 
-    def reaches(self, target: SimTarget) -> bool:
-        """Tell whether a target can be reached from this VM."""
+    def can_reach(self, target: SimTarget) -> bool:
+        """Return whether this VM can reach a target."""
         is_blocked = self._group.network.is_blocked
-        own = self._reactor.host
-        return not (is_blocked(own, target.host) or is_blocked(target.host, own))
+        own_host = self._reactor.host
+        return not (
+            is_blocked(own_host, target.host) or is_blocked(target.host, own_host)
+        )
 
     async def dial(self, entry: TargetEntry) -> Any:
         """Open a connection."""
         target = self._find(entry)
-        await deferLater(self._reactor, CALL_S, lambda: None)
-        if not self.reaches(target):
+        await deferLater(self._reactor, CALL_LATENCY_S, lambda: None)
+        if not self.can_reach(target):
             await deferLater(self._reactor, 0.35, lambda: None)
             raise TargetUnreachable("silent")
         if not target.is_alive:
             raise TargetUnreachable("refused", is_refused=True)
-        return _Closable()
+        return _Connection()
 
     async def status(self, entry: TargetEntry) -> TargetStatus | None:
-        """Ask where a log ends."""
+        """Return the role, term and log position of a target, None if unreachable."""
         try:
             await self.dial(entry)
         except TargetUnreachable:
@@ -334,7 +340,7 @@
         return TargetStatus(target.is_primary, target.term, LogPosition(1, 1))
 
     async def statuses(self, entries: list[TargetEntry]) -> dict[str, TargetStatus]:
-        """Ask several."""
+        """Return the statuses of the targets that answer."""
         found = {}
         for entry in entries:
             status = await self.status(entry)
@@ -343,15 +349,15 @@
         return found
 
     async def demote(self, entry: TargetEntry, term: int) -> None:
-        """Tell a target to stop leading."""
+        """Demote a target."""
         target = self._find(entry)
-        if self.reaches(target) and target.is_alive and term > target.term:
+        if self.can_reach(target) and target.is_alive and term > target.term:
             target.is_primary, target.term = False, term
 
     def _find(self, entry: TargetEntry) -> SimTarget:
         return next(t for t in self._group.targets if t.target_id == entry.target_id)
 
 
-class _Closable:
+class _Connection:
     def close(self) -> None:
         pass
