--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/directory_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/directory_service.py
@@ -33,7 +33,7 @@
 """Interval between reads of the list; a draining target stays for several seconds."""
 
 MAX_RELAY_AGE_S = 4.0
-"""Age of the list up to which a VM relies on the reads of the duty holder."""
+"""Age of the list up to which a VM leaves reading it to the duty holder."""
 
 TRIM_INTERVAL_S = 0.25
 EVIDENCE_TTL_S = 0.7
@@ -200,8 +200,8 @@
         if outage_at > self.directory.as_of:
             self.directory.record_outage(outage_at)
         previous = dict(self.directory.entry_by_id)
-        changed, gone = self.directory.apply_listing(entries, now_s() - age_s)
-        if not changed and not gone:
+        changed, removed = self.directory.apply_listing(entries, now_s() - age_s)
+        if not changed and not removed:
             return
         for target_id in changed:
             entry = self.directory.entry_by_id[target_id]
@@ -216,7 +216,7 @@
             )
             if target_id in self.pool_by_id:
                 self.pool(entry)
-        for target_id in gone:
+        for target_id in removed:
             log_decision("target_gone", target=target_id)
             self._last_entry_by_id[target_id] = previous[target_id]
             pool = self.pool_by_id.pop(target_id, None)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_messages.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_messages.py
@@ -109,7 +109,7 @@
 
 
 class TableRequest(msgspec.Struct, frozen=True, tag="ask"):
-    """Requests the newer part of a VM's copy of the store's contents.
+    """Requests the rows and targets that are newer than the sender's.
 
     Parameters
     ----------
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/rate_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/rate_service.py
@@ -33,15 +33,15 @@
     from guavabarrow_daemon.session_settings import SessionVmSettings
 
 EXCLUDE_AFTER_S = 9.0
-"""A VM that has been marked unavailable for this long no longer counts as a user of the
+"""A VM that has been marked unavailable for this long is excluded from the division of
 rates. It can't use targets any more: its lease on primaries has expired, and its data
 is older than any staleness bound that a read may state."""
 
 FULL_HEARTBEAT_EVERY = 8
-"""One in this many heartbeats has the whole demand, to make up for lost changes."""
+"""Every so many heartbeats contain the whole demand, in case changes were lost."""
 
 UNKNOWN_HOST = "?"
-"""Pool host assumed for a connected VM until its first heartbeat arrives."""
+"""Pool host of a connected VM until its first heartbeat arrives."""
 
 GRANT_TIMEOUT_S = 0.15
 """Many times the network latency plus the host's processing time; a statement still has
@@ -75,7 +75,7 @@
 
 
 class RateService(Service):
-    """Rate limits of teams.
+    """Admits operations within the rates of their teams.
 
     Attributes
     ----------
@@ -202,7 +202,7 @@
     def _set_members(self) -> None:
         now = now_s()
         state = self._fleet.state
-        local_vms: set[str] = set()
+        domain_vms: set[str] = set()
         vms_by_domain: dict[str, int] = {}
         members = state.member_by_vm()
         self._domain_by_vm = {vm: member.domain for vm, member in members.items()}
@@ -211,11 +211,11 @@
             if member.is_out and unavailable_s >= EXCLUDE_AFTER_S:
                 continue
             if member.domain == self._domain:
-                local_vms.add(vm)
+                domain_vms.add(vm)
             else:
                 count = vms_by_domain.get(member.domain, 0)
                 vms_by_domain[member.domain] = count + 1
-        self.rates.set_members(frozenset(local_vms), vms_by_domain)
+        self.rates.set_members(frozenset(domain_vms), vms_by_domain)
 
     def _on_heartbeat(self, vm: str, heartbeat: PeerHeartbeat) -> None:
         now = now_s()
@@ -225,8 +225,8 @@
             self.rates.local.update_peer_demand(
                 vm, heartbeat.demand_by_team, now, is_full=heartbeat.is_full
             )
-            is_changed = heartbeat.has_pool != (self.rates.host == vm)
-            if is_changed or self._fleet.observer() == self._vm != self.rates.host:
+            pool_changed = heartbeat.has_pool != (self.rates.host == vm)
+            if pool_changed or self._fleet.observer() == self._vm != self.rates.host:
                 self._update_pool(now)
         elif domain is not None and heartbeat.has_pool:
             self.rates.update_domain_demand(
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/table_relay.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/table_relay.py
@@ -1,9 +1,9 @@
-"""Relays the store's contents between VMs, so that only a few VMs read the store.
+"""Relays the store's data between VMs, so that only a few VMs read the store.
 
 One VM in each failure domain, the observer, reads the tables, and one VM of the fleet
-reads the list of targets. The other VMs request the contents from these, and a VM that
-can't reach the store requests them from any VM with newer ones. Ages are measured on
-the store's clock, so that relayed contents never appear younger than they are.
+reads the list of targets. The other VMs request the data from them, and a VM that can't
+reach the store requests it from any VM with newer data. Ages are passed on by the
+store's clock, so that relayed data never appears newer than it is.
 """
 
 from __future__ import annotations
@@ -39,8 +39,8 @@
 """Age of the shared table beyond which any VM with a newer one is asked."""
 
 MIN_LEAD_S = 0.3
-"""Minimum lead of such a VM; also the minimum pause between the answer of a VM and the
-next request that one of its heartbeats triggers."""
+"""Such a VM is asked if its table is newer by at least this much. After its answer, its
+heartbeats trigger no further request for the same time."""
 
 ANSWER_TIMEOUT_S = 5.0
 """An unanswered request is repeated after this long. A large answer takes seconds on a
@@ -56,7 +56,7 @@
 
 
 class TableRelay(Service):
-    """Requests the store's contents from other VMs, and answers their requests."""
+    """Requests the store's data from other VMs, and answers their requests."""
 
     name = "table_relay"
 
--- a/packages/guavabarrow-daemon/tests/sim_platform.py
+++ b/packages/guavabarrow-daemon/tests/sim_platform.py
@@ -86,12 +86,12 @@
         self.row_by_key[key] = TableRow(key, value, self.version)
         return Written(True, self.version, self.network.now)
 
-    def read_after(self, after: int, *, with_dropped: bool) -> TableReading:
+    def read_after(self, after: int, *, with_deleted: bool) -> TableReading:
         """Return the rows that changed after a version."""
         rows = [
             row
             for row in self.row_by_key.values()
-            if row.version > after and (with_dropped or row.value is not None)
+            if row.version > after and (with_deleted or row.value is not None)
         ]
         return TableReading(rows, self.version, self.network.now)
 
@@ -106,7 +106,7 @@
     async def read(self) -> TableReading:
         """Read all rows."""
         await self._send_request()
-        return await self._receive_answer(self._store.read_after(0, with_dropped=False))
+        return await self._receive_answer(self._store.read_after(0, with_deleted=False))
 
     async def watch(self, after: int, wait_s: float) -> TableReading:
         """Wait for changes."""
@@ -117,7 +117,7 @@
         while self._store.version <= after and self._reactor.seconds() < until:
             await self._pause(POLL_INTERVAL_S)
         return await self._receive_answer(
-            self._store.read_after(after, with_dropped=True)
+            self._store.read_after(after, with_deleted=True)
         )
 
     async def write(self, key: str, value: bytes | None, expected: int) -> Written:
