--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/__init__.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What VMs tell each other and agree on through the store."""
+"""Coordination of VMs through peer messages and the shared store."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_service.py
@@ -1,4 +1,4 @@
-"""Keeps the shared table and the operators' orders, from the store or other VMs."""
+"""Follows the shared table and the operators' orders, in the store or via other VMs."""
 
 from __future__ import annotations
 
@@ -47,45 +47,45 @@
         Written,
     )
 
-FLEET_WAIT_S = 1.2
-"""Longest wait of one look at the shared table."""
+WATCH_TIMEOUT_S = 1.2
+"""Long-poll timeout for the shared table."""
 
-HOLDER_WAIT_S = 0.5
-"""The same at the holder of the duty, whose right is short."""
+HOLDER_WATCH_TIMEOUT_S = 0.5
+"""Long-poll timeout at the duty holder, whose lease is short."""
 
-ORDERS_WAIT_S = 2.5
-"""Longest wait of one look at the operators' table."""
+ORDERS_WATCH_TIMEOUT_S = 2.5
+"""Long-poll timeout for the operators' table."""
 
-STALE_S = 2.0
-"""Age of the shared table that only an outage of the store explains."""
+OUTAGE_TABLE_AGE_S = 2.0
+"""Age of the shared table above which an outage of the store is assumed."""
 
-RETRY_S = 0.25
-"""Pause after the store gave no answer."""
+RETRY_DELAY_S = 0.25
+"""Delay before a retry after a failed store request."""
 
 HEARTBEAT_INTERVAL_S = 0.7
 MIN_HEARTBEAT_INTERVAL_S = 0.03
-"""Shortest pause between two pulses of which one is sent because of a change."""
+"""Minimum interval between a heartbeat sent for a change and the one before it."""
 
-SOON_S = 0.15
-"""Pause before a pulse for VMs that were linked; when many VMs start, links come up by
-the dozen, and a pulse for each would fill a slow one."""
+HEARTBEAT_DELAY_S = 0.15
+"""Delay that coalesces heartbeats to newly connected VMs. When many VMs start, dozens
+of connections open at once, and a heartbeat for each would saturate a slow one."""
 
-RELAY_LIMIT_S = 2.6
-"""Age of the shared table up to which a VM leaves the store to its observer."""
+MAX_RELAYED_AGE_S = 2.6
+"""Age of the shared table up to which a VM relies on its observer's copy."""
 
-RELAY_CHECK_S = 0.3
+RELAY_CHECK_INTERVAL_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatDraft:
-    """Fields of the next pulse.
+    """Fields of the next heartbeat.
 
     Parameters
     ----------
     common : dict
-        Told to all VMs.
+        Sent to all VMs.
     inside, outside : dict
-        Told to the own failure domain, and to the others.
+        Sent to VMs of this failure domain, and to those of the others.
     """
 
     common: dict[str, Any]
@@ -94,21 +94,24 @@
 
 
 class FleetService(Service):
-    """Shared table and operators' orders of one VM.
+    """This VM's copies of the shared table and of the operators' orders.
 
     Attributes
     ----------
     state : FleetState
-        The shared table and the rights that follow from it.
+        The shared table and the leases derived from it.
     configuration : SessionConfiguration or None
-        Version in force, None until one was read.
+        Active configuration, None until one has been read.
     evacuated : frozenset of str
-        Failure domains whose targets get nothing.
+        Failure domains whose targets get no work.
     store_failed_at, stale_at : float
-        Local times at which the store last gave no answer, and at which the table was
-        last too old for a store that works.
+        Local times of the last failed store request, and of the last heartbeat at which
+        the shared table was older than ``OUTAGE_TABLE_AGE_S``.
     on_rows, on_orders, on_heartbeat : list of callable
-        Called with changed rows; after changed orders; with each pulse.
+        Called with changed rows; after orders were applied; with each heartbeat that
+        was received.
+    heartbeat_fillers : list of callable
+        Called with the draft of each heartbeat to add fields.
     """
 
     name = "fleet"
@@ -143,50 +146,50 @@
         self.order_row_by_key: dict[str, SharedRow] = {}
         self.heard_store_s = 0.0
         self._links = kernel.find(PeerLinks)
-        self._pulse_by_vm: dict[str, tuple[float, PeerHeartbeat]] = {}
-        self._pulse_at = 0.0
-        self._is_pulse_due = False
+        self._heartbeat_by_vm: dict[str, tuple[float, PeerHeartbeat]] = {}
+        self._heartbeat_sent_at = 0.0
+        self._is_heartbeat_due = False
         self._is_store_reachable: bool | None = None
-        self._pulses: LoopingCall | None = None
+        self._heartbeat_loop: LoopingCall | None = None
 
     async def start(self) -> None:
-        """Begin to follow both tables."""
+        """Start watching both tables and sending heartbeats."""
         self._links.on_peer_message.append(self._on_message)
-        Deferred.fromCoroutine(self._follow_fleet())
-        Deferred.fromCoroutine(self._follow_orders())
-        self._pulses = LoopingCall(self._pulse)
-        self._pulses.clock = self._reactor
-        self._pulses.start(HEARTBEAT_INTERVAL_S, now=False)
+        Deferred.fromCoroutine(self._watch_table())
+        Deferred.fromCoroutine(self._watch_orders())
+        self._heartbeat_loop = LoopingCall(self._send_heartbeat)
+        self._heartbeat_loop.clock = self._reactor
+        self._heartbeat_loop.start(HEARTBEAT_INTERVAL_S, now=False)
 
     async def stop(self) -> None:
-        """Stop following."""
+        """Stop watching and sending."""
         self.is_stopping = True
-        if self._pulses is not None and self._pulses.running:
-            self._pulses.stop()
+        if self._heartbeat_loop is not None and self._heartbeat_loop.running:
+            self._heartbeat_loop.stop()
 
     async def write(self, key: str, row: Any) -> Written | None:
-        """Write a row that is unchanged since it was last seen, and tell the others.
+        """Write a row if the store still has the cached version, and broadcast it.
 
         Parameters
         ----------
         key : str
             Key of the row.
         row : FleetRow or None
-            New row, None to drop it.
+            New row, None to delete it.
 
         Returns
         -------
         Written or None
-            None if the store gave no answer; the row may change later.
+            None if the store did not answer; the write may still be applied later.
         """
         sent_at = now_s()
         value = None if row is None else encode_row(row)
         try:
             written = await self._table.write(key, value, self.state.version_of(key))
         except StoreUnavailable as error:
-            self._note_store(False, str(error))
+            self._record_store_access(False, str(error))
             return None
-        self._note_store(True)
+        self._record_store_access(True)
         received_at = now_s()
         self.clock.observe(
             store_s=written.store_s, sent_at=sent_at, received_at=received_at
@@ -201,53 +204,58 @@
         if written.is_applied:
             shared = SharedRow(key, written.version, value)
             self._links.broadcast(FleetRows([shared]))
-            self._merge([shared])
+            self._merge_rows([shared])
         return written
 
     async def refresh(self) -> bool:
-        """Read the shared table in full, False if the store gave no answer."""
+        """Read the whole shared table and return whether the store answered."""
         sent_at = now_s()
         try:
             reading = await self._table.read()
         except StoreUnavailable as error:
-            self._note_store(False, str(error))
+            self._record_store_access(False, str(error))
             return False
-        self._note_store(True)
-        self._hear(reading, sent_at, is_full=True)
+        self._record_store_access(True)
+        self._apply_reading(reading, sent_at, is_full=True)
         return True
 
-    async def _follow_fleet(self) -> None:
+    async def _watch_table(self) -> None:
         while not self.is_stopping:
             if self.state.version == 0:
                 if await self.refresh():
                     await self._register()
                 else:
-                    await deferLater(self._reactor, RETRY_S, lambda: None)
+                    await deferLater(self._reactor, RETRY_DELAY_S, lambda: None)
                 continue
             if not self.state.is_registered():
-                # Others marked this VM as out, which it may know from them alone.
+                # Another VM marked this one unavailable; that row may have arrived from
+                # a peer rather than from the store.
                 await self._register()
                 if not self.state.is_registered():
-                    await deferLater(self._reactor, RETRY_S, lambda: None)
+                    await deferLater(self._reactor, RETRY_DELAY_S, lambda: None)
                 continue
-            if self._is_relayed():
-                await deferLater(self._reactor, RELAY_CHECK_S, lambda: None)
+            if self._uses_relay():
+                await deferLater(self._reactor, RELAY_CHECK_INTERVAL_S, lambda: None)
                 continue
             sent_at = now_s()
             try:
-                wait_s = HOLDER_WAIT_S if self._has_duty() else FLEET_WAIT_S
+                wait_s = (
+                    HOLDER_WATCH_TIMEOUT_S
+                    if self._is_duty_holder()
+                    else WATCH_TIMEOUT_S
+                )
                 reading = await self._table.watch(self.state.version, wait_s)
             except HistoryDropped:
                 log_decision("shared_table_history_dropped", version=self.state.version)
                 if not await self.refresh():
-                    await deferLater(self._reactor, RETRY_S, lambda: None)
+                    await deferLater(self._reactor, RETRY_DELAY_S, lambda: None)
                 continue
             except StoreUnavailable as error:
-                self._note_store(False, str(error))
-                await deferLater(self._reactor, RETRY_S, lambda: None)
+                self._record_store_access(False, str(error))
+                await deferLater(self._reactor, RETRY_DELAY_S, lambda: None)
                 continue
-            self._note_store(True)
-            self._hear(reading, sent_at, is_full=False)
+            self._record_store_access(True)
+            self._apply_reading(reading, sent_at, is_full=False)
 
     async def _register(self) -> None:
         own = MemberRow(
@@ -259,11 +267,13 @@
         )
         written = await self.write(member_key(own.vm), own)
         if written is not None and written.is_applied:
-            # Only a look after the registration may give a right.
+            # Only a read after the registration may grant a lease.
             self.state.as_of = float("-inf")
         await self.refresh()
 
-    def _hear(self, reading: TableReading, sent_at: float, *, is_full: bool) -> None:
+    def _apply_reading(
+        self, reading: TableReading, sent_at: float, *, is_full: bool
+    ) -> None:
         now = now_s()
         self.clock.observe(store_s=reading.store_s, sent_at=sent_at, received_at=now)
         rows = [decode_row(row.key, row.value, row.version) for row in reading.rows]
@@ -272,17 +282,17 @@
         changed = self.state.apply(
             rows, reading.version, as_of=as_of, now=now, is_full=is_full
         )
-        self._tell_rows(changed)
+        self._notify_changed_rows(changed)
 
-    def _merge(self, rows: list[SharedRow]) -> None:
+    def _merge_rows(self, rows: list[SharedRow]) -> None:
         decoded = [decode_row(row.key, row.value, row.version) for row in rows]
-        self._tell_rows(self.state.merge(decoded, now_s()))
+        self._notify_changed_rows(self.state.merge(decoded, now_s()))
 
-    def _tell_rows(self, changed: list[VersionedRow]) -> None:
+    def _notify_changed_rows(self, changed: list[VersionedRow]) -> None:
         if not changed:
             return
         if any(not isinstance(row.row, PrimaryRow) for row in changed):
-            self._choose_peers()
+            self._update_peers()
         for row in changed:
             if isinstance(row.row, PrimaryRow):
                 log_decision(
@@ -296,7 +306,7 @@
         for callback in self.on_rows:
             callback(changed)
 
-    def _choose_peers(self) -> None:
+    def _update_peers(self) -> None:
         members = self.state.member_by_vm()
         duty = self.state.duty()
         peers = peers_to_link(
@@ -307,30 +317,30 @@
         )
         self._links.set_peers({vm: members[vm] for vm in peers if vm in members})
 
-    async def _follow_orders(self) -> None:
+    async def _watch_orders(self) -> None:
         while not self.is_stopping:
-            if self._orders_version > 0 and self._is_relayed():
-                await deferLater(self._reactor, RELAY_CHECK_S, lambda: None)
+            if self._orders_version > 0 and self._uses_relay():
+                await deferLater(self._reactor, RELAY_CHECK_INTERVAL_S, lambda: None)
                 continue
             try:
-                orders, reading = await self._look_at_orders()
+                orders, reading = await self._read_orders()
             except HistoryDropped:
                 log_decision("orders_history_dropped", version=self._orders_version)
                 self._orders_version = 0
                 continue
             except StoreUnavailable as error:
-                self._note_store(False, str(error))
-                await deferLater(self._reactor, RETRY_S, lambda: None)
+                self._record_store_access(False, str(error))
+                await deferLater(self._reactor, RETRY_DELAY_S, lambda: None)
                 continue
-            self._note_store(True)
-            self._take_orders(orders, reading.rows, reading.version)
+            self._record_store_access(True)
+            self._apply_orders(orders, reading.rows, reading.version)
 
-    async def _look_at_orders(self) -> tuple[OperatorOrders | None, TableReading]:
+    async def _read_orders(self) -> tuple[OperatorOrders | None, TableReading]:
         if self._orders_version == 0:
             return await self._orders.read()
-        return await self._orders.watch(self._orders_version, ORDERS_WAIT_S)
+        return await self._orders.watch(self._orders_version, ORDERS_WATCH_TIMEOUT_S)
 
-    def _take_orders(
+    def _apply_orders(
         self, orders: OperatorOrders | None, rows: list[TableRow], version: int
     ) -> None:
         self._orders_version = max(self._orders_version, version)
@@ -341,48 +351,48 @@
         if orders.evacuated != self.evacuated:
             log_decision("evacuations_changed", domains=sorted(orders.evacuated))
         self.evacuated = orders.evacuated
-        newest = orders.configuration
-        current = self.configuration
-        if newest and (current is None or newest.version > current.version):
-            self.configuration = newest
+        configuration = orders.configuration
+        active = self.configuration
+        if configuration and (active is None or configuration.version > active.version):
+            self.configuration = configuration
             log_decision(
                 "configuration_in_force",
-                version=newest.version,
-                routes=len(newest.route_by_database),
+                version=configuration.version,
+                routes=len(configuration.route_by_database),
             )
             metrics = self.kernel.find(SessionMetrics)
-            metrics.configuration_version.set(newest.version)
+            metrics.configuration_version.set(configuration.version)
         for callback in self.on_orders:
             callback()
         self.send_heartbeat_now()
 
     @property
     def orders_row_version(self) -> int:
-        """Version of the newest known row of the operators' table."""
+        """Newest row version in the cached operators' table."""
         return max((row.version for row in self.order_row_by_key.values()), default=0)
 
     def observer(self) -> str:
-        """Return the VM of the own failure domain that follows the store."""
+        """Return the VM that watches the store for this failure domain."""
         return self.state.observer(self._settings.domain, self._links.live_peers())
 
     def last_heartbeat(self, vm: str) -> tuple[float, PeerHeartbeat]:
-        """Return a VM's last pulse and its age in s."""
-        at, heartbeat = self._pulse_by_vm.get(vm, (float("-inf"), PeerHeartbeat()))
+        """Return the age of a VM's last heartbeat, in s, and the heartbeat."""
+        at, heartbeat = self._heartbeat_by_vm.get(vm, (float("-inf"), PeerHeartbeat()))
         return now_s() - at, heartbeat
 
     def apply_relayed_table(
         self, rows: list[SharedRow], version: int, rows_version: int, store_s: float
     ) -> None:
-        """Take the shared table as another VM knows it.
+        """Apply the shared table as cached by another VM.
 
         Parameters
         ----------
         rows : list of SharedRow
-            All rows, or none if their newest version is known.
+            Rows newer than those cached here; may be empty.
         version, rows_version : int
-            Version up to which the sender knows all rows, and that of the newest.
+            Version up to which the sender has all rows, and that of the newest row.
         store_s : float
-            Store time at which the sender read that.
+            Store time of the reading that the sender's copy is based on.
         """
         if version < self.state.version:
             return
@@ -392,27 +402,27 @@
         as_of = self.clock.earliest_local(store_s)
         self.heard_store_s = max(self.heard_store_s, store_s)
         changed = self.state.apply(decoded, version, as_of=as_of, now=now_s())
-        self._tell_rows(changed)
+        self._notify_changed_rows(changed)
 
     def apply_relayed_orders(self, shared: list[SharedRow]) -> None:
-        """Take the operators' table as another VM knows it."""
+        """Apply the operators' table as cached by another VM."""
         rows = [TableRow(row.key, row.value, row.version) for row in shared]
-        # The next look of this VM's own starts where its own last one ended.
-        self._take_orders(self._orders.decode(rows), rows, self._orders_version)
+        # The next watch of the store still starts at this VM's last own reading.
+        self._apply_orders(self._orders.decode(rows), rows, self._orders_version)
 
-    def _has_duty(self) -> bool:
+    def _is_duty_holder(self) -> bool:
         duty = self.state.duty()
         return duty is not None and duty.holder == self._settings.vm
 
-    def _is_relayed(self) -> bool:
+    def _uses_relay(self) -> bool:
         observer = self.observer()
-        is_own_task = self._has_duty() or observer == self._settings.vm
-        if is_own_task or self.table_age_s() > RELAY_LIMIT_S:
+        must_watch = self._is_duty_holder() or observer == self._settings.vm
+        if must_watch or self.table_age_s() > MAX_RELAYED_AGE_S:
             return False
         heartbeat_age_s, heartbeat = self.last_heartbeat(observer)
-        return heartbeat_age_s + heartbeat.store_age_s < RELAY_LIMIT_S
+        return heartbeat_age_s + heartbeat.store_age_s < MAX_RELAYED_AGE_S
 
-    def _note_store(self, is_reachable: bool, detail: str = "") -> None:
+    def _record_store_access(self, is_reachable: bool, detail: str = "") -> None:
         if not is_reachable:
             self.store_failed_at = now_s()
         if is_reachable != self._is_store_reachable:
@@ -421,33 +431,39 @@
             log_decision(event, detail=detail, table_age_s=self.table_age_s())
 
     def table_age_s(self) -> float:
-        """Return the age of the shared table as known, in s."""
+        """Return the age of the cached shared table, in s."""
         return round(min(1e9, now_s() - self.state.as_of), 3)
 
     def send_heartbeat_now(self) -> None:
-        """Tell the other VMs at once that something changed."""
-        wait_s = self._pulse_at + MIN_HEARTBEAT_INTERVAL_S - now_s()
+        """Send a heartbeat as soon as the minimum interval allows."""
+        wait_s = self._heartbeat_sent_at + MIN_HEARTBEAT_INTERVAL_S - now_s()
         if wait_s <= 0.0:
-            self._pulse()
+            self._send_heartbeat()
         else:
             self.send_heartbeat_soon(wait_s)
 
-    def send_heartbeat_soon(self, wait_s: float = SOON_S) -> None:
-        """Tell the other VMs shortly, together with what else changes until then."""
-        if not self._is_pulse_due:
-            self._is_pulse_due = True
-            self._reactor.callLater(wait_s, self._pulse_if_due)
+    def send_heartbeat_soon(self, wait_s: float = HEARTBEAT_DELAY_S) -> None:
+        """Send a heartbeat after a delay, during which further changes are coalesced.
+
+        Parameters
+        ----------
+        wait_s : float
+            Delay, in s.
+        """
+        if not self._is_heartbeat_due:
+            self._is_heartbeat_due = True
+            self._reactor.callLater(wait_s, self._send_heartbeat_if_due)
 
-    def _pulse_if_due(self) -> None:
-        if self._is_pulse_due and not self.is_stopping:
-            self._pulse()
+    def _send_heartbeat_if_due(self) -> None:
+        if self._is_heartbeat_due and not self.is_stopping:
+            self._send_heartbeat()
 
-    def _pulse(self) -> None:
-        self._pulse_at = now_s()
-        self._is_pulse_due = False
+    def _send_heartbeat(self) -> None:
+        self._heartbeat_sent_at = now_s()
+        self._is_heartbeat_due = False
         age_s = self.table_age_s()
         self.kernel.find(SessionMetrics).store_age.set(age_s)
-        if age_s > STALE_S:
+        if age_s > OUTAGE_TABLE_AGE_S:
             self.stale_at = now_s()
         draft = HeartbeatDraft(
             {
@@ -467,8 +483,8 @@
     def _on_message(self, vm: str, message: FleetMessage) -> None:
         match message:
             case PeerHeartbeat():
-                self._pulse_by_vm[vm] = (now_s(), message)
+                self._heartbeat_by_vm[vm] = (now_s(), message)
                 for callback in self.on_heartbeat:
                     callback(vm, message)
             case FleetRows(rows):
-                self._merge(rows)
+                self._merge_rows(rows)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/row_codec.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/row_codec.py
@@ -1,4 +1,4 @@
-"""Values of the rows that VMs share through the store."""
+"""Encoding of the shared table's rows as stored values."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class StoredMember(msgspec.Struct, frozen=True, tag="vm"):
-    """Registration of a VM."""
+    """Stored form of a VM's registration."""
 
     vm: str
     domain: str
@@ -26,8 +26,8 @@
     is_out: bool = False
 
 
-class StoredLead(msgspec.Struct, frozen=True, tag="lead"):
-    """Primary of a service."""
+class StoredPrimary(msgspec.Struct, frozen=True, tag="lead"):
+    """Stored form of a service's primary."""
 
     service: str
     phase: PrimaryPhase
@@ -37,40 +37,42 @@
 
 
 class StoredDuty(msgspec.Struct, frozen=True, tag="duty"):
-    """Who orders promotions."""
+    """Stored form of the promotion duty and its holder."""
 
     holder: str
     incarnation: str
 
 
-StoredRow = StoredMember | StoredLead | StoredDuty
-ROW_BY_STORED: dict[type, type] = {
+StoredRow = StoredMember | StoredPrimary | StoredDuty
+ROW_TYPE_BY_STORED_TYPE: dict[type, type] = {
     StoredMember: MemberRow,
-    StoredLead: PrimaryRow,
+    StoredPrimary: PrimaryRow,
     StoredDuty: DutyRow,
 }
-STORED_BY_ROW = {row: stored for stored, row in ROW_BY_STORED.items()}
+STORED_TYPE_BY_ROW_TYPE = {
+    row: stored for stored, row in ROW_TYPE_BY_STORED_TYPE.items()
+}
 DECODER = msgspec.json.Decoder(StoredRow)
 
 
 def encode_row(row: FleetRow) -> bytes:
-    """Return the value of a row."""
+    """Encode a row as the value to store."""
     names = row.__dataclass_fields__
-    stored = STORED_BY_ROW[type(row)]
+    stored = STORED_TYPE_BY_ROW_TYPE[type(row)]
     return msgspec.json.encode(stored(**{name: getattr(row, name) for name in names}))
 
 
 def decode_row(key: str, value: bytes | None, version: int) -> VersionedRow:
-    """Translate a row; one that can't be read counts as dropped.
+    """Decode a stored row; an unreadable value is treated as a deleted row.
 
     Parameters
     ----------
     key : str
-        Its key.
+        Key of the row.
     value : bytes or None
-        Its value, None if it was dropped.
+        Stored value, None if the row was deleted.
     version : int
-        Its version.
+        Version of the row.
     """
     if value is None:
         return VersionedRow(key, version, None)
@@ -79,5 +81,5 @@
     except msgspec.MsgspecError as error:
         log_decision("shared_row_unreadable", key=key, detail=str(error))
         return VersionedRow(key, version, None)
-    row = ROW_BY_STORED[type(stored)](**msgspec.structs.asdict(stored))
+    row = ROW_TYPE_BY_STORED_TYPE[type(stored)](**msgspec.structs.asdict(stored))
     return VersionedRow(key, version, row)
