--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_service.py
@@ -1,4 +1,4 @@
-"""Tells which primary of a service may be used, and stops using one that moves."""
+"""Selects the usable primary of each service and drains one that is being replaced."""
 
 from __future__ import annotations
 
@@ -27,26 +27,27 @@
     from guavabarrow_core.log_position import LogPosition
     from guavabarrow_core.target_directory import TargetEntry
 
-PLANNED_DRAIN_S = 0.4
-"""Time that running work has before a planned move breaks it off."""
+SWITCHOVER_DRAIN_TIMEOUT_S = 0.4
+"""Time that running work has to finish before a planned switchover aborts it."""
 
-LEAVING_S = 2.0
-"""Time for which a primary that gets no new work is used until it is replaced; well
-below the time that a leaving target or an evacuated failure domain has."""
+UNUSABLE_PRIMARY_GRACE_S = 2.0
+"""Time for which a draining or evacuated primary is still used until it is replaced;
+well below the time that a draining target or an evacuated failure domain is given."""
 
-DRAIN_CHECK_S = 0.01
-USUAL_MOVE_S = 1.6
-"""A replacement with all VMs in reach: up to 1 s for the promotion itself, the rest for
-running work, comparing and settling."""
+DRAIN_CHECK_INTERVAL_S = 0.01
+USUAL_REPLACEMENT_S = 1.6
+"""Usual duration of a replacement with all VMs reachable: up to 1 s for the promotion
+itself, the rest for draining, comparing the replicas and writing the settled row."""
 
 
 class PrimaryService(Service):
-    """Primaries as this VM may use them.
+    """Access to the primaries that this VM may use.
 
     Attributes
     ----------
     on_stopped : list of callable
-        Called with the service and the version once this VM stopped using a primary.
+        Called with the service and the row version once this VM has stopped using a
+        primary.
     """
 
     name = "lead"
@@ -60,119 +61,140 @@
         self._links = kernel.find(PeerLinks)
         self._history_by_service: dict[str, PrimaryHistory] = {}
         self._running_by_service: dict[str, int] = {}
-        self._waiting: dict[str, list[Deferred[None]]] = {}
-        self._moving_since: dict[str, float] = {}
+        self._waiters_by_service: dict[str, list[Deferred[None]]] = {}
+        self._moving_since_by_service: dict[str, float] = {}
 
     async def start(self) -> None:
-        """Listen for marks."""
+        """Subscribe to changes of the primaries' rows and to new peer connections."""
         self._fleet.on_rows.append(self._on_rows)
-        self._links.on_peer_up.append(self._repeat_stopped)
+        self._links.on_peer_up.append(self._repeat_acknowledgements)
 
     def primary(self, service: str) -> TargetEntry | None:
-        """Return the primary that statements may go to now, None if there is none."""
+        """Return the primary that statements may be sent to, None if there is none."""
         if not self._fleet.state.may_use_primary(service, now_s()):
             return None
-        lead = self._fleet.state.primary_row(service)
-        if lead is None or self._directory.unusable_s(lead.primary_id) > LEAVING_S:
+        primary_row = self._fleet.state.primary_row(service)
+        if (
+            primary_row is None
+            or self._directory.unusable_s(primary_row.primary_id)
+            > UNUSABLE_PRIMARY_GRACE_S
+        ):
             return None
-        return self._directory.entry(lead.primary_id)
+        return self._directory.entry(primary_row.primary_id)
 
     def may_use(self, service: str, target_id: str) -> bool:
-        """Tell whether a target still is the primary that this VM may use."""
+        """Return whether a target is still the primary that this VM may use."""
         if not self._fleet.state.may_use_primary(service, now_s()):
             return False
-        lead = self._fleet.state.primary_row(service)
-        return lead is not None and lead.primary_id == target_id
+        primary_row = self._fleet.state.primary_row(service)
+        return primary_row is not None and primary_row.primary_id == target_id
 
     def replacement_wait_s(self, service: str) -> float:
-        """Return how long it makes sense to wait for a primary, in s.
+        """Return how long a statement should wait for a running replacement, in s.
 
-        A replacement that takes longer than usual waits for VMs that can't be reached
-        or for the store; then waiting is hopeless.
+        A replacement that exceeds the usual duration is held up by unreachable VMs or
+        by the store; waiting longer would not help.
         """
-        lead = self._fleet.state.primary_row(service)
-        if lead is None or lead.phase is not PrimaryPhase.MOVING:
+        primary_row = self._fleet.state.primary_row(service)
+        if primary_row is None or primary_row.phase is not PrimaryPhase.MOVING:
             return 0.0
-        began_at = self._moving_since.get(service, float("-inf"))
-        return began_at + USUAL_MOVE_S - now_s()
+        started_at = self._moving_since_by_service.get(service, float("-inf"))
+        return started_at + USUAL_REPLACEMENT_S - now_s()
 
     def draining_primary(self, service: str) -> str:
-        """Return the primary that running work may still use, empty if none."""
-        lead = self._fleet.state.primary_row(service)
-        if lead is None or lead.phase is not PrimaryPhase.MOVING or not lead.is_planned:
+        """Return the id of the primary that running work may still use, or empty."""
+        primary_row = self._fleet.state.primary_row(service)
+        if (
+            primary_row is None
+            or primary_row.phase is not PrimaryPhase.MOVING
+            or not primary_row.is_planned
+        ):
             return ""
-        return lead.primary_id
+        return primary_row.primary_id
 
     def history(self, service: str) -> PrimaryHistory:
-        """Return what was seen of a service's primary."""
+        """Return the observed log positions of a service's primary."""
         return self._history_by_service.setdefault(service, PrimaryHistory())
 
     def observe(
         self, service: str, target_id: str, asked_at: float, position: LogPosition
     ) -> None:
-        """Record where the primary's log ended, if it still is the primary."""
+        """Record the end of the primary's log if the target is still the primary.
+
+        Parameters
+        ----------
+        service, target_id : str
+            Service and the target that answered.
+        asked_at : float
+            Local time at which the statement was sent, in s.
+        position : LogPosition
+            End of the log in the answer.
+        """
         if self.may_use(service, target_id):
             self.history(service).record(Observation(asked_at, position))
 
     def begin_work(self, service: str) -> None:
-        """Count work that begins at the primary."""
+        """Record that an operation started at the primary."""
         self._running_by_service[service] = self._running_by_service.get(service, 0) + 1
 
     def end_work(self, service: str) -> None:
-        """Count work that ended at the primary."""
+        """Record that an operation ended at the primary."""
         self._running_by_service[service] -= 1
 
     def when_changed(self, service: str) -> Deferred[None]:
-        """Return a Deferred that fires when the primary of a service changes."""
-        waiting = self._waiting.setdefault(service, [])
+        """Return a Deferred that fires once a primary of the service is settled."""
+        waiters = self._waiters_by_service.setdefault(service, [])
         result: Deferred[None] = Deferred(
-            lambda d: waiting.remove(d) if d in waiting else None
+            lambda d: waiters.remove(d) if d in waiters else None
         )
-        waiting.append(result)
+        waiters.append(result)
         return result
 
     def _on_rows(self, rows: list[VersionedRow]) -> None:
         for row in rows:
-            lead = row.row
-            if not isinstance(lead, PrimaryRow):
+            primary_row = row.row
+            if not isinstance(primary_row, PrimaryRow):
                 continue
-            if lead.phase is PrimaryPhase.MOVING:
-                self._moving_since[lead.service] = now_s()
-                self._stop_using(lead, row.version)
+            if primary_row.phase is PrimaryPhase.MOVING:
+                self._moving_since_by_service[primary_row.service] = now_s()
+                self._stop_using(primary_row, row.version)
                 continue
-            waiting, self._waiting[lead.service] = (
-                self._waiting.get(lead.service, []),
+            waiters, self._waiters_by_service[primary_row.service] = (
+                self._waiters_by_service.get(primary_row.service, []),
                 [],
             )
-            for deferred in waiting:
+            for deferred in waiters:
                 deferred.callback(None)
 
-    def _stop_using(self, lead: PrimaryRow, version: int) -> None:
-        limit_s = PLANNED_DRAIN_S if lead.is_planned else 0.0
-        self._await_end(lead, version, now_s() + limit_s)
+    def _stop_using(self, primary_row: PrimaryRow, version: int) -> None:
+        limit_s = SWITCHOVER_DRAIN_TIMEOUT_S if primary_row.is_planned else 0.0
+        self._drain(primary_row, version, now_s() + limit_s)
 
-    def _await_end(self, lead: PrimaryRow, version: int, until: float) -> None:
-        if self._fleet.state.version_of(primary_row_key(lead.service)) != version:
+    def _drain(self, primary_row: PrimaryRow, version: int, until: float) -> None:
+        if (
+            self._fleet.state.version_of(primary_row_key(primary_row.service))
+            != version
+        ):
             return
-        running = self._running_by_service.get(lead.service, 0)
+        running = self._running_by_service.get(primary_row.service, 0)
         if running > 0 and now_s() < until:
             self._reactor.callLater(
-                DRAIN_CHECK_S, self._await_end, lead, version, until
+                DRAIN_CHECK_INTERVAL_S, self._drain, primary_row, version, until
             )
             return
-        pool = self._directory.pool_by_id.get(lead.primary_id)
+        pool = self._directory.pool_by_id.get(primary_row.primary_id)
         if pool is not None:
             pool.close_all("The primary is being replaced.")
         log_decision(
             "primary_left",
-            service=lead.service,
-            primary=lead.primary_id,
+            service=primary_row.service,
+            primary=primary_row.primary_id,
             version=version,
             broken_off=running,
         )
-        self._send_stopped(lead.service, version)
+        self._acknowledge_stop(primary_row.service, version)
 
-    def _send_stopped(self, service: str, version: int) -> None:
+    def _acknowledge_stop(self, service: str, version: int) -> None:
         state = self._fleet.state
         duty = state.duty()
         message = PrimaryUseStopped(state.vm, state.incarnation, service, version)
@@ -181,13 +203,13 @@
         for callback in self.on_stopped:
             callback(service, version)
 
-    def _repeat_stopped(self, vm: str) -> None:
+    def _repeat_acknowledgements(self, vm: str) -> None:
         duty = self._fleet.state.duty()
         if duty is None or duty.holder != vm:
             return
-        for known in list(self._fleet.state.row_by_key.values()):
+        for versioned in list(self._fleet.state.row_by_key.values()):
             if (
-                isinstance(known.row, PrimaryRow)
-                and known.row.phase is PrimaryPhase.MOVING
+                isinstance(versioned.row, PrimaryRow)
+                and versioned.row.phase is PrimaryPhase.MOVING
             ):
-                self._stop_using(known.row, known.version)
+                self._stop_using(versioned.row, versioned.version)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_watch.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_watch.py
@@ -1,4 +1,4 @@
-"""Watches the primaries while this VM orders promotions."""
+"""Monitors the health of the primaries while this VM holds the promotion duty."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
     from guavabarrow_core.target_directory import TargetEntry
     from guavabarrow_daemon.fleet.fleet_messages import PeerHeartbeat
 
-PROBE_S = 0.6
-"""Pace of probes of a primary that did not answer this VM otherwise."""
+PROBE_INTERVAL_S = 0.6
+"""Probe interval for a primary that has not answered this VM recently."""
 
-SUSPECT_PROBE_S = 0.15
-"""Pace of probes while there is evidence against a primary or it is being replaced."""
+SUSPECT_PROBE_INTERVAL_S = 0.15
+"""Probe interval for a primary that is suspected or is being replaced."""
 
-IDLE_PROBE_S = 2.0
-"""Pace of probes of a primary that answered the last one."""
+IDLE_PROBE_INTERVAL_S = 2.0
+"""Probe interval for a primary that answered the last probe."""
 
 
 class PrimaryWatch(Service):
-    """Evidence about each service's primary."""
+    """Failure detector for the primary of each service."""
 
     name = "primary_watch"
 
@@ -48,22 +48,24 @@
         self._probing: set[str] = set()
 
     async def start(self) -> None:
-        """Begin to watch."""
+        """Subscribe to heartbeats and to the checks of the duty holder."""
         self._fleet.on_heartbeat.append(self._on_heartbeat)
         self._duty.on_check.append(self._check)
 
     def is_failed(self, target_id: str, now: float) -> bool:
-        """Tell whether a primary should be replaced."""
+        """Return whether a primary has failed and should be replaced."""
         evidence = self._evidence(target_id)
-        contacts = self._links.live_peers()
-        return evidence.is_failed(now, votes=evidence.votes(now), others=len(contacts))
+        live_peers = self._links.live_peers()
+        return evidence.is_failed(
+            now, votes=evidence.votes(now), others=len(live_peers)
+        )
 
     def is_reachable(self, target_id: str, now: float) -> bool:
-        """Tell whether a primary lately answered a probe."""
+        """Return whether a primary answered a recent probe."""
         return self._evidence(target_id).is_reachable(now)
 
     def describe(self, target_id: str, now: float) -> str:
-        """Return the evidence in words."""
+        """Return the evidence as text for the log."""
         evidence = self._evidence(target_id)
         probe = evidence.probe.value if evidence.probe else "none"
         age_s = now - evidence.probed_at
@@ -74,53 +76,55 @@
 
     def _on_heartbeat(self, vm: str, heartbeat: PeerHeartbeat) -> None:
         now = now_s()
-        for known in self._fleet.state.row_by_key.values():
-            if isinstance(known.row, PrimaryRow):
-                target_id = known.row.primary_id
+        for versioned in self._fleet.state.row_by_key.values():
+            if isinstance(versioned.row, PrimaryRow):
+                target_id = versioned.row.primary_id
                 self._evidence(target_id).record_vote(
                     vm, target_id not in heartbeat.suspected, now
                 )
 
     def _check(self, now: float) -> None:
         primaries = set()
-        for known in list(self._fleet.state.row_by_key.values()):
-            lead = known.row
-            if not isinstance(lead, PrimaryRow):
+        for versioned in list(self._fleet.state.row_by_key.values()):
+            primary_row = versioned.row
+            if not isinstance(primary_row, PrimaryRow):
                 continue
-            primaries.add(lead.primary_id)
-            entry = self._directory.last_known_entry(lead.primary_id)
-            if entry is not None and self._is_due(lead, now):
-                self._probing.add(lead.primary_id)
+            primaries.add(primary_row.primary_id)
+            entry = self._directory.last_known_entry(primary_row.primary_id)
+            if entry is not None and self._is_due(primary_row, now):
+                self._probing.add(primary_row.primary_id)
                 Deferred.fromCoroutine(self._probe(entry))
         for target_id in set(self._evidence_by_id) - primaries:
             del self._evidence_by_id[target_id]
 
-    def _is_due(self, lead: PrimaryRow, now: float) -> bool:
-        target_id = lead.primary_id
+    def _is_due(self, primary_row: PrimaryRow, now: float) -> bool:
+        target_id = primary_row.primary_id
         if target_id in self._probing:
             return False
         evidence = self._evidence(target_id)
         pool = self._directory.pool_by_id.get(target_id)
         is_suspected = (
-            lead.phase is PrimaryPhase.MOVING
+            primary_row.phase is PrimaryPhase.MOVING
             or evidence.votes(now) > 0
             or target_id in self._directory.suspected()
         )
         if is_suspected:
-            return now - evidence.probed_at >= SUSPECT_PROBE_S
+            return now - evidence.probed_at >= SUSPECT_PROBE_INTERVAL_S
         if pool is not None and pool.is_answering(now):
             evidence.record_probe(ProbeResult.ANSWERED, now)
             return False
-        was_good = evidence.probe is ProbeResult.ANSWERED
-        return now - evidence.probed_at >= (IDLE_PROBE_S if was_good else PROBE_S)
+        was_answered = evidence.probe is ProbeResult.ANSWERED
+        return now - evidence.probed_at >= (
+            IDLE_PROBE_INTERVAL_S if was_answered else PROBE_INTERVAL_S
+        )
 
     async def _probe(self, entry: TargetEntry) -> None:
         result = ProbeResult.ANSWERED
         try:
             connection = await self._questions.dial(entry)
             connection.close()
-            lead = self._fleet.state.primary_row(entry.service)
-            if lead is not None and lead.phase is PrimaryPhase.MOVING:
+            primary_row = self._fleet.state.primary_row(entry.service)
+            if primary_row is not None and primary_row.phase is PrimaryPhase.MOVING:
                 self._directory.confirm_entry(entry)
         except TargetUnreachable as error:
             result = ProbeResult.REFUSED if error.is_refused else ProbeResult.SILENT
