--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_service.py
@@ -41,7 +41,7 @@
 
 
 class PrimaryService(Service):
-    """Access to the primaries that this VM may use.
+    """Primaries that this VM may use, and the work that runs at them.
 
     Attributes
     ----------
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/promotion_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/promotion_service.py
@@ -123,7 +123,7 @@
             return
         entry = self._directory.entry(primary_row.primary_id)
         if entry is None:
-            # Its absence from the list is the only evidence, so an answered probe must
+            # Its absence from the list is the only evidence, so a successful probe must
             # not revert the replacement.
             self._start_promotion(
                 primary_row,
--- a/packages/guavabarrow-daemon/tests/test_fleet_faults.py
+++ b/packages/guavabarrow-daemon/tests/test_fleet_faults.py
@@ -353,7 +353,7 @@
 
 @pytest.mark.parametrize("fault", ["no_wait", "long_lease", "no_check"])
 def test_invariant_check_detects_broken_builds(fleet, monkeypatch, fault):
-    """Broken builds: no wait for leases, too long leases, no check of the row."""
+    """Broken builds: no wait for unreachable VMs, 60 s leases, no check of the row."""
     if fault == "no_wait":
         monkeypatch.setattr(FleetState, "lease_has_expired", lambda *arguments: True)
     elif fault == "long_lease":
