--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/promotion_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/promotion_service.py
@@ -128,7 +128,7 @@
             self._start_promotion(
                 primary_row,
                 is_planned=False,
-                reason="no longer listed",
+                reason="gone",
                 is_resumed=True,
             )
         elif self._primary_watch.is_failed(primary_row.primary_id, now):
@@ -142,7 +142,7 @@
             self._start_promotion(
                 primary_row,
                 is_planned=False,
-                reason="another target is primary",
+                reason="another target leads",
                 is_resumed=True,
             )
 
--- a/packages/guavabarrow-daemon/tests/test_fleet_faults.py
+++ b/packages/guavabarrow-daemon/tests/test_fleet_faults.py
@@ -25,7 +25,7 @@
 """Time within which deployments require a new configuration to be active at all VMs."""
 
 FAST_ROLLOUT_S = 3.0
-"""The same for the deployment with the shortest limit."""
+"""Rollout limit of the strictest deployment."""
 
 SLOW_LINK_BYTES_PER_S = 312_500.0
 """Half of 5 Mbit/s, the slowest link of a deployment; callers use the other half."""
@@ -376,7 +376,7 @@
 
 
 def test_large_fleet_survives_loss_of_duty_holder_and_primary(monkeypatch):
-    """In a fleet of 24 VMs not every pair of VMs is connected."""
+    """In a fleet of 24 VMs, 8 per domain, not every pair of VMs is connected."""
     fleet = SimFleet(monkeypatch, per_domain=8)
     fleet.wait_until_serving()
     fleet.run(2.0)
