--- a/packages/guavabarrow-core/src/guavabarrow_core/fair_queue.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/fair_queue.py
@@ -85,7 +85,7 @@
         weight : float
             Weight of the team relative to other teams.
         deadline : float
-            Monotonic time after which the item need not be served.
+            Monotonic time after which the item no longer needs to be served.
         now : float
             Monotonic time.
 
--- a/packages/guavabarrow-core/src/guavabarrow_core/lease.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/lease.py
@@ -190,7 +190,7 @@
                 return self._on_tick(event, now)
 
     def release(self, now: float) -> list[LeaseAction]:
-        """Release the lease, so that a successor need not wait for its expiry."""
+        """Release the lease, so that a successor does not have to wait."""
         if not self.holds(now):
             return []
         released = LeaseRow("", self.row.epoch, self.row.renewal, self.row.revision)
