--- a/packages/guavabarrow-core/src/guavabarrow_core/membership.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/membership.py
@@ -95,7 +95,7 @@
 
     Parameters
     ----------
-    own : Heartbeat
+    local_heartbeat : Heartbeat
         First heartbeat of this VM.
     seed : int
         Seed for the random choice of gossip partners.
@@ -103,11 +103,11 @@
         Monotonic time in seconds.
     """
 
-    def __init__(self, own: Heartbeat, *, seed: int, now: float) -> None:
-        self.own = own
-        self.by_vm: dict[str, Heartbeat] = {own.vm: own}
+    def __init__(self, local_heartbeat: Heartbeat, *, seed: int, now: float) -> None:
+        self.local_heartbeat = local_heartbeat
+        self.by_vm: dict[str, Heartbeat] = {local_heartbeat.vm: local_heartbeat}
         self.paused_at: float | None = None
-        self._since_heartbeat_s: dict[str, float] = {own.vm: 0.0}
+        self._since_heartbeat_s: dict[str, float] = {local_heartbeat.vm: 0.0}
         self._random = Random(seed)
         self._last_advance_at = now
         self._next_digest = 0
@@ -130,14 +130,15 @@
         """
         self._age(now)
         if changes:
-            changes["content"] = self.own.content + 1
-        self.own = msgspec.structs.replace(
-            self.own, counter=self.own.counter + 1, **changes
+            changes["content"] = self.local_heartbeat.content + 1
+        self.local_heartbeat = msgspec.structs.replace(
+            self.local_heartbeat, counter=self.local_heartbeat.counter + 1, **changes
         )
-        self.by_vm[self.own.vm] = self.own
-        self._since_heartbeat_s[self.own.vm] = 0.0
+        self.by_vm[self.local_heartbeat.vm] = self.local_heartbeat
+        self._since_heartbeat_s[self.local_heartbeat.vm] = 0.0
         return [
-            _digest(heartbeat) for heartbeat in (self.own, *self._next_live_members())
+            _digest(heartbeat)
+            for heartbeat in (self.local_heartbeat, *self._next_live_members())
         ]
 
     def merge_digests(self, digests: Iterable[HeartbeatDigest]) -> list[str]:
@@ -151,7 +152,7 @@
         needed = []
         for digest in digests:
             current = self.by_vm.get(digest.vm)
-            if digest.vm == self.own.vm:
+            if digest.vm == self.local_heartbeat.vm:
                 continue
             if current is None or _content_version(digest) > _content_version(current):
                 needed.append(digest.vm)
@@ -165,7 +166,7 @@
     def merge(self, heartbeats: Iterable[Heartbeat]) -> None:
         """Store heartbeats that are newer than the stored ones."""
         for heartbeat in heartbeats:
-            if heartbeat.vm == self.own.vm:
+            if heartbeat.vm == self.local_heartbeat.vm:
                 continue
             current = self.by_vm.get(heartbeat.vm)
             if current is None or heartbeat.order > current.order:
@@ -217,7 +218,7 @@
         live: list[Heartbeat] = []
         dead: list[Heartbeat] = []
         for vm, heartbeat in self.by_vm.items():
-            if vm == self.own.vm:
+            if vm == self.local_heartbeat.vm:
                 continue
             bucket = dead if self.state_of(vm) is MemberState.DEAD else live
             bucket.append(heartbeat)
@@ -240,7 +241,8 @@
         live = [
             heartbeat
             for vm, heartbeat in self.by_vm.items()
-            if vm != self.own.vm and self._since_heartbeat_s[vm] < SUSPECT_AFTER_S
+            if vm != self.local_heartbeat.vm
+            and self._since_heartbeat_s[vm] < SUSPECT_AFTER_S
         ]
         if len(live) <= MAX_DIGESTS:
             return live
--- a/packages/guavabarrow-core/src/guavabarrow_core/rendezvous.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/rendezvous.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable
 
 
-def ranked(duty: str, members: Iterable[str]) -> list[str]:
+def rank_members(duty: str, members: Iterable[str]) -> list[str]:
     """Rank members for a duty, the preferred one first.
 
     Parameters
@@ -31,8 +31,8 @@
 
     Examples
     --------
-    >>> before = ranked("ledger", ["a", "b", "c"])
-    >>> after = ranked("ledger", before[1:])
+    >>> before = rank_members("ledger", ["a", "b", "c"])
+    >>> after = rank_members("ledger", before[1:])
     >>> after == before[1:]
     True
     """
@@ -45,4 +45,4 @@
 
 def rank_of(duty: str, member: str, members: Iterable[str]) -> int:
     """Return the rank of ``member`` for ``duty``, 0 for the preferred member."""
-    return ranked(duty, {*members, member}).index(member)
+    return rank_members(duty, {*members, member}).index(member)
--- a/packages/guavabarrow-core/tests/test_membership.py
+++ b/packages/guavabarrow-core/tests/test_membership.py
@@ -41,7 +41,7 @@
     def deliver(self, sender, receiver, digests):
         needed = receiver.merge_digests(digests)
         receiver.merge(sender.by_vm[vm] for vm in needed)
-        receiver.merge([sender.own])
+        receiver.merge([sender.local_heartbeat])
 
 
 def test_all_members_discover_each_other():
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_service.py
@@ -474,7 +474,7 @@
         )
         for fill in self.heartbeat_fillers:
             fill(draft)
-        self._links.dial_missing()
+        self._links.connect_missing_peers()
         inside = PeerHeartbeat(**draft.common, **draft.inside)
         outside = PeerHeartbeat(**draft.common, **draft.outside)
         domain = self._settings.domain
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/peer_links.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/peer_links.py
@@ -157,13 +157,13 @@
         for vm in list(self._link_by_vm):
             if vm not in members:
                 self._link_by_vm.pop(vm).abort()
-        self.dial_missing()
+        self.connect_missing_peers()
 
     def is_peer(self, vm: str) -> bool:
         """Return whether another VM is a peer of this one."""
         return vm in self._peers
 
-    def dial_missing(self) -> None:
+    def connect_missing_peers(self) -> None:
         """Connect to peers that lack a connection, and close those without traffic."""
         now = now_s()
         for vm, link in list(self._link_by_vm.items()):
@@ -256,4 +256,4 @@
     def _allow_reconnect(self, vm: str) -> None:
         self._connecting.discard(vm)
         if not self._is_stopped:
-            self.dial_missing()
+            self.connect_missing_peers()
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/ledger_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/ledger_service.py
@@ -10,7 +10,7 @@
 
 from guavabarrow_core.exceptions import Overloaded, RateExceeded
 from guavabarrow_core.fleet import OPEN_TEAM, TeamLimits
-from guavabarrow_core.rendezvous import ranked
+from guavabarrow_core.rendezvous import rank_members
 from guavabarrow_core.token_lending import GRANT_TTL_S, DomainBucket
 from guavabarrow_daemon.configuration_service import ConfigurationService
 from guavabarrow_daemon.kernel import Kernel, Service
@@ -204,7 +204,7 @@
         if own is not None:
             return own
         others = {beat.vm: beat for beat in self._lenders()}
-        names = ranked(f"{team}/{self._settings.vm}", others)
+        names = rank_members(f"{team}/{self._settings.vm}", others)
         return others[names[0]] if names else None
 
     def _on_grant(self, grant: GrantTokens) -> None:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/membership_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/membership_service.py
@@ -107,7 +107,7 @@
         """Tell some members at once what has changed at this VM."""
         self.table.advance(self._reactor.seconds(), **self._changes)
         self._changes.clear()
-        message = PushHeartbeats([self.table.own])
+        message = PushHeartbeats([self.table.local_heartbeat])
         for partner in self.table.partners(count):
             self._peers.send(partner.peer_address, message)
 
@@ -122,7 +122,7 @@
         return max(claims, key=lambda beat: beat.ledger_epoch, default=None)
 
     def _create_table(self) -> Membership:
-        own = Heartbeat(
+        local_heartbeat = Heartbeat(
             vm=self._settings.vm,
             domain=self._settings.domain,
             peer_address=self._peers.address,
@@ -131,7 +131,7 @@
             counter=0,
         )
         seed = self._incarnation & 0xFFFFFFFF
-        return Membership(own, seed=seed, now=self._reactor.seconds())
+        return Membership(local_heartbeat, seed=seed, now=self._reactor.seconds())
 
     def _beat(self) -> None:
         digest = self.table.advance(self._reactor.seconds(), **self._changes)
@@ -173,7 +173,9 @@
         known = set(self.table.by_vm)
         for entry in listed.vms:
             if entry.vm not in known:
-                self._peers.send(entry.peer_address, PushHeartbeats([self.table.own]))
+                self._peers.send(
+                    entry.peer_address, PushHeartbeats([self.table.local_heartbeat])
+                )
 
 
 def create_incarnation() -> int:
--- a/tests/mutations/catalogue.py
+++ b/tests/mutations/catalogue.py
@@ -106,7 +106,7 @@
     ),
     Mutation(
         "rate_limiter",
-        "return parts.get(source, self._vms_by_source[source] / self.members)",
+        "return shares.get(source, self._vms_by_source[source] / self.members)",
         "return 0.0",
         "test_rate_limiter",
     ),
@@ -130,7 +130,7 @@
     ),
     Mutation(
         "pooled_rate_limiter",
-        "reserve_part=self.local.unreachable_part,",
+        "reserve_share=self.local.unreachable_share,",
         "",
         "test_pooled_rate_limiter",
     ),
