--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_pool.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_pool.py
@@ -1,9 +1,9 @@
-"""Connections of this VM to one target, one session at a time on each.
+"""Connection pool of this VM for one target; a connection serves one session at a time.
 
-A connection belongs to a team, because targets are told the team when it is opened.
-Connections to a target are scarce over all VMs: each VM opens as many as its even part
-without asking, goes beyond it while the target accepts more, and gives these extra ones
-back when they have been idle for a moment.
+A connection belongs to one team, because the handshake names the team. All VMs share
+the target's connection limit: each VM may open its fair share without coordination and
+more while the target accepts it. Connections above the fair share are closed after a
+short idle time.
 """
 
 from __future__ import annotations
@@ -34,29 +34,30 @@
     from guavabarrow_daemon.targets.interface import TargetDriver
     from guavabarrow_daemon.targets.session_connection import SessionConnection
 
-FULL_PAUSE_S = 0.06
-"""Pause after the target had no connection to give; a few statements' time."""
+FULL_BACKOFF_S = 0.06
+"""Pause after the target refused a session at its connection limit; about as long as
+a few statements take."""
 
-EXTRA_IDLE_S = 0.3
-"""Idle time after which a connection beyond the even part is closed."""
+EXCESS_IDLE_TIMEOUT_S = 0.3
+"""Idle time after which a connection above the fair share is closed."""
 
-IDLE_S = 0.4
-"""Idle time after which any connection is closed. What VMs hold when their machines
-lose power counts against the target's limit for seconds, so they hold little."""
+IDLE_TIMEOUT_S = 0.4
+"""Idle time after which any connection is closed. The connections of a machine that
+loses power count against the target's limit for seconds, so VMs keep few of them."""
 
-UNREACHABLE_PAUSE_S = 0.25
-"""Pause between attempts to reach a target that gave no answer; statements that ask
-meanwhile are refused at once."""
+UNREACHABLE_BACKOFF_S = 0.25
+"""Pause between attempts to connect to an unreachable target; meanwhile, requests for a
+connection are refused at once."""
 
-MAX_OPENING = 1
-"""Handshakes of one VM at a time: each holds a slot of the target, and a storm of them
-leaves none for work."""
+MAX_CONCURRENT_HANDSHAKES = 1
+"""Handshakes of one VM with a target at a time. Each occupies a slot of the target, and
+many at once leave none for statements."""
 
-MAX_WAITING = 40
-"""Longest queue of statements for a connection to one target."""
+MAX_WAITERS = 40
+"""Maximum number of statements that wait for a connection to one target."""
 
 INITIAL_WINDOW = 3.0
-LARGEST_WINDOW = 8.0
+MAX_WINDOW = 8.0
 
 
 @dataclass(slots=True)
@@ -68,15 +69,16 @@
     team : str
         Team that it runs for.
     priority : int
-        0 is served first.
+        Lower values are served first.
     start_tag : float
-        Position in the fair order of teams; see ``guavabarrow_core.fair_queue``.
+        Virtual start time for fair queueing between teams; see
+        ``guavabarrow_core.fair_queue``.
     order : int
-        Order of arrival.
+        Arrival number, which breaks ties.
     deadline : float
-        Local time after which it is refused, in s.
+        Local time after which the statement is refused, in s.
     result : Deferred
-        Gets the connection.
+        Fires with the connection.
     """
 
     team: str
@@ -88,7 +90,7 @@
 
 
 class SessionPool:
-    """Connections to one target.
+    """Connection pool of one target.
 
     Parameters
     ----------
@@ -99,9 +101,10 @@
     reactor : object
         Clock.
     on_evidence : callable
-        Called with the target's id and whether it just answered or failed.
+        Called with the target's id and ``answered``, ``refused``, ``silent`` or
+        ``lost``.
     count_handshake : callable
-        Called with the result of each new connection.
+        Called with the result of each handshake.
     """
 
     def __init__(
@@ -115,8 +118,8 @@
     ) -> None:
         self.entry = entry
         self.load = TargetLoad()
-        self.window = SendWindow(LARGEST_WINDOW, INITIAL_WINDOW)
-        self._running = 0
+        self.window = SendWindow(MAX_WINDOW, INITIAL_WINDOW)
+        self._running_count = 0
         self.even_part = 1
         self.most = 4
         self.connections: set[SessionConnection] = set()
@@ -126,7 +129,7 @@
         self._count_handshake = count_handshake
         self._idle: list[SessionConnection] = []
         self._waiters: list[Waiter] = []
-        self._opening = 0
+        self._opening_count = 0
         self._order = 0
         self._virtual_time = 0.0
         self._finish_tag_by_team: dict[str, float] = {}
@@ -137,51 +140,51 @@
     @property
     def open_count(self) -> int:
         """Connections that are open or being opened."""
-        return len(self.connections) + self._opening
+        return len(self.connections) + self._opening_count
 
     @property
     def waiting(self) -> int:
-        """Statements that wait."""
+        """Statements that wait for a connection."""
         return len(self._waiters)
 
     def is_answering(self, now: float) -> bool:
-        """Tell whether the target answered within the last second."""
+        """Return whether the target answered within the last second."""
         return now - self.load.measured_at < 1.0
 
     @property
     def wait_s(self) -> float:
-        """Expected wait of a statement that asks for a connection now, in s."""
+        """Expected wait of a statement that requests a connection now, in s."""
         ahead = len(self._waiters)
-        if not ahead and self.window.allows(self._running):
+        if not ahead and self.window.allows(self._running_count):
             return 0.0
         return self.window.wait_s(ahead + 1, self.load.response_s)
 
     def begin_statement(self) -> None:
-        """Count a statement that is sent."""
-        self._running += 1
+        """Increment the number of running statements."""
+        self._running_count += 1
 
     def end_statement(self) -> None:
-        """Count a statement that was answered or given up."""
-        self._running -= 1
-        self._serve()
+        """Decrement the number of running statements after an answer or a failure."""
+        self._running_count -= 1
+        self._serve_waiters()
 
     def has_idle(self, team: str) -> bool:
-        """Tell whether a connection of a team is idle."""
+        """Return whether an idle connection of a team exists."""
         return any(connection.team == team for connection in self._idle)
 
     def acquire(
         self, team: str, *, priority: int, deadline: float
     ) -> Deferred[SessionConnection]:
-        """Get a connection for one statement or transaction.
+        """Acquire a connection for one statement or transaction.
 
         Parameters
         ----------
         team : str
             Team that the connection is opened for.
         priority : int
-            0 is served first.
+            Lower values are served first.
         deadline : float
-            Local time after which it is useless, in s.
+            Local time after which the request fails, in s.
 
         Returns
         -------
@@ -190,22 +193,22 @@
         """
         result: Deferred[SessionConnection] = Deferred(self._on_cancel)
         if self._is_closed:
-            result.errback(_unavailable("The target is gone."))
+            result.errback(_unavailable("The connection pool of the target is closed."))
             return result
         if self._is_unreachable():
-            detail = f"The target gave no answer: {self._state()}."
+            detail = f"The target is unreachable: {self._describe_state()}."
             result.errback(
                 SessionError(
-                    FailureCode.OVERLOADED, detail, retry_after_s=UNREACHABLE_PAUSE_S
+                    FailureCode.OVERLOADED, detail, retry_after_s=UNREACHABLE_BACKOFF_S
                 )
             )
             return result
         wait_s = self.wait_s
-        if len(self._waiters) >= MAX_WAITING or now_s() + wait_s > deadline:
+        if len(self._waiters) >= MAX_WAITERS or now_s() + wait_s > deadline:
             result.errback(
                 SessionError(
                     FailureCode.OVERLOADED,
-                    f"Would wait {wait_s:.2f} s: {self._state()}.",
+                    f"Expected wait of {wait_s:.2f} s: {self._describe_state()}.",
                     retry_after_s=wait_s,
                 )
             )
@@ -217,39 +220,41 @@
             Waiter(team, priority, start_tag, self._order, deadline, result)
         )
         self._waiters.sort(key=lambda w: (w.priority, w.start_tag, w.order))
-        self._serve()
+        self._serve_waiters()
         return result
 
     def release(self, connection: SessionConnection) -> None:
-        """Give a connection back after its last answer."""
+        """Return a connection to the pool after its last answer."""
         if not connection.is_open:
-            self._serve()
+            self._serve_waiters()
             return
         if self._is_closed or connection.has_pending:
             connection.abort()
             return
         connection.idle_since = now_s()
         self._idle.append(connection)
-        self._serve()
+        self._serve_waiters()
 
     def trim(self) -> None:
-        """Close connections that have been idle for too long; fail late waiters."""
+        """Close connections that were idle for too long and fail expired waiters."""
         now = now_s()
         for connection in list(self._idle):
-            is_extra = self.open_count > self.even_part
-            limit = EXTRA_IDLE_S if is_extra else IDLE_S
-            if idle_s(connection) > limit:
+            is_excess = self.open_count > self.even_part
+            timeout_s = EXCESS_IDLE_TIMEOUT_S if is_excess else IDLE_TIMEOUT_S
+            if idle_s(connection) > timeout_s:
                 self._discard(connection)
         for waiter in list(self._waiters):
             if now >= waiter.deadline:
                 self._waiters.remove(waiter)
                 waiter.result.errback(
-                    _unavailable(f"No connection became free: {self._state()}.")
+                    _unavailable(
+                        f"No connection became free: {self._describe_state()}."
+                    )
                 )
-        self._serve()
+        self._serve_waiters()
 
     def close_all(self, reason: str) -> None:
-        """Break off everything and refuse what waits."""
+        """Abort all connections and fail all waiters."""
         waiters, self._waiters = self._waiters, []
         for connection in list(self.connections):
             connection.abort()
@@ -258,29 +263,29 @@
             waiter.result.errback(_unavailable(reason))
 
     def shut(self, reason: str) -> None:
-        """Close for good."""
+        """Abort all connections and refuse further requests."""
         self._is_closed = True
         self.close_all(reason)
 
     def _is_unreachable(self) -> bool:
         if self._unreachable_at is None or self.connections:
             return False
-        is_recent = now_s() - self._unreachable_at < UNREACHABLE_PAUSE_S
-        return is_recent or self._opening > 0
+        is_recent = now_s() - self._unreachable_at < UNREACHABLE_BACKOFF_S
+        return is_recent or self._opening_count > 0
 
-    def _state(self) -> str:
+    def _describe_state(self) -> str:
         return (
             f"target={self.entry.target_id} open={len(self.connections)} "
-            f"opening={self._opening} idle={len(self._idle)} "
+            f"opening={self._opening_count} idle={len(self._idle)} "
             f"waiting={len(self._waiters)} limit={self.even_part}-{self.most}"
         )
 
-    def _serve(self) -> None:
+    def _serve_waiters(self) -> None:
         while self._waiters and not self._is_closed:
-            if not self.window.allows(self._running):
+            if not self.window.allows(self._running_count):
                 return
             waiter = next((w for w in self._waiters if self.has_idle(w.team)), None)
-            connection = None if waiter is None else self._take_idle(waiter.team)
+            connection = None if waiter is None else self._pop_idle(waiter.team)
             if waiter is not None and connection is not None:
                 self._waiters.remove(waiter)
                 self._virtual_time = max(self._virtual_time, waiter.start_tag)
@@ -288,14 +293,16 @@
                     self._finish_tag_by_team.clear()
                 waiter.result.callback(connection)
                 continue
-            if self._opening >= min(MAX_OPENING, len(self._waiters)):
+            if self._opening_count >= min(
+                MAX_CONCURRENT_HANDSHAKES, len(self._waiters)
+            ):
                 return
-            if not self._make_room():
+            if not self._ensure_capacity():
                 return
-            self._opening += 1
+            self._opening_count += 1
             Deferred.fromCoroutine(self._open(self._waiters[0].team))
 
-    def _take_idle(self, team: str) -> SessionConnection | None:
+    def _pop_idle(self, team: str) -> SessionConnection | None:
         for connection in reversed(self._idle):
             if connection.team == team:
                 self._idle.remove(connection)
@@ -303,16 +310,16 @@
                     return connection
         return None
 
-    def _make_room(self) -> bool:
+    def _ensure_capacity(self) -> bool:
         now = now_s()
         limit = self.even_part if now < self._full_until else self.most
         if self.open_count < limit:
             return True
-        wanted = {waiter.team for waiter in self._waiters}
-        spare = [c for c in self._idle if c.team not in wanted] or self._idle
-        if not spare:
+        waiting_teams = {waiter.team for waiter in self._waiters}
+        closable = [c for c in self._idle if c.team not in waiting_teams] or self._idle
+        if not closable:
             return False
-        self._discard(min(spare, key=lambda c: c.idle_since))
+        self._discard(min(closable, key=lambda c: c.idle_since))
         return True
 
     def _discard(self, connection: SessionConnection) -> None:
@@ -321,12 +328,12 @@
         connection.close()
 
     async def _open(self, team: str) -> None:
-        opening = OpenSession(self.entry.service, team, self.entry.target_id)
+        open_message = OpenSession(self.entry.service, team, self.entry.target_id)
         connection = None
         evidence = "answered"
         try:
             connection = await self._driver.connect(
-                self.entry.host, self.entry.port, opening
+                self.entry.host, self.entry.port, open_message
             )
             self._count_handshake("opened")
             self._unreachable_at = None
@@ -343,11 +350,11 @@
             self._count_handshake(evidence)
             self._on_unreachable(str(error), evidence)
         finally:
-            self._opening -= 1
+            self._opening_count -= 1
         if evidence:
             self._on_evidence(self.entry.target_id, evidence)
         if connection is None or not connection.is_open:
-            self._serve_later()
+            self._schedule_serve()
             return
         self.connections.add(connection)
         connection.set_on_lost(partial(self._on_lost, connection))
@@ -356,7 +363,7 @@
     def _on_refused(self, code: str) -> None:
         now = now_s()
         if code == FailureCode.TOO_MANY_CONNECTIONS.value:
-            self._full_until = now + FULL_PAUSE_S
+            self._full_until = now + FULL_BACKOFF_S
             return
         log_decision(
             "target_refused_session",
@@ -378,16 +385,16 @@
         self.load.record_failure(now_s())
         self._unreachable_at = now_s()
         if not self.connections:
-            self._fail_waiters("The target can't be reached.")
+            self._fail_waiters("The target cannot be reached.")
 
     def _fail_waiters(self, detail: str) -> None:
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             waiter.result.errback(_unavailable(detail))
 
-    def _serve_later(self) -> None:
+    def _schedule_serve(self) -> None:
         if self._waiters:
-            self._reactor.callLater(FULL_PAUSE_S, self._serve)
+            self._reactor.callLater(FULL_BACKOFF_S, self._serve_waiters)
 
     def _on_lost(self, connection: SessionConnection) -> None:
         was_idle = connection in self._idle
@@ -396,7 +403,7 @@
         if connection in self.connections:
             self.connections.discard(connection)
             self._on_evidence(self.entry.target_id, "lost")
-        self._serve()
+        self._serve_waiters()
 
     def _on_cancel(self, result: Deferred[SessionConnection]) -> None:
         self._waiters = [w for w in self._waiters if w.result is not result]
