--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/permit_pool.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/permit_pool.py
@@ -1,4 +1,4 @@
-"""Connections of this VM to one database, handed out fairly."""
+"""Connection pool of one database with fair queueing between teams."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     connection : SqlConnection
         The connection.
     pool : PermitPool
-        Pool to return it to.
+        Pool that owns the connection.
     """
 
     connection: SqlConnection
@@ -43,16 +43,16 @@
     is_returned: bool = False
 
     def release(self, *, is_clean: bool) -> None:
-        """Return the connection; one in doubt is closed."""
+        """Return the connection; it is closed unless its state is clean."""
         if self.is_returned:
             return
         self.is_returned = True
-        self.pool.take_back(self.connection, is_clean=is_clean)
+        self.pool.return_connection(self.connection, is_clean=is_clean)
 
 
 @dataclass(slots=True)
 class PoolState:
-    """Connections of a pool by their use."""
+    """Connections of a pool by state."""
 
     idle: list[SqlConnection] = field(default_factory=list)
     busy: set[SqlConnection] = field(default_factory=set)
@@ -65,22 +65,23 @@
 
 
 class PermitPool:
-    """Pool of one database.
+    """Connection pool of one database.
 
     Parameters
     ----------
     target : Target
         Database.
     address : tuple of (str, int)
-        Address to dial.
+        Address to connect to.
     driver : SqlDriver
         Opens connections.
     permits : PermitService
-        Grants the number of connections.
+        Grants permits, which limit the number of connections.
     reactor : object
-        Clock.
+        Source of time and timers.
     is_fair : bool
-        Whether teams are served by weight; False gives the first-come baseline.
+        Whether teams are served by weight; False serves first come, first served, as a
+        baseline for comparison.
     """
 
     def __init__(
@@ -109,12 +110,12 @@
 
     @property
     def outstanding(self) -> int:
-        """Statements that run or wait."""
+        """Statements that run or wait for a connection."""
         return len(self.state.busy) + len(self._queue)
 
     @property
     def queued(self) -> int:
-        """Statements that wait."""
+        """Statements that wait for a connection."""
         return len(self._queue)
 
     async def acquire(self, *, team: str, weight: float, deadline: float) -> Checkout:
@@ -123,42 +124,42 @@
         Parameters
         ----------
         team : str
-            Team that is charged in the queue.
+            Team whose queue the request joins.
         weight : float
-            Its weight.
+            Weight of the team.
         deadline : float
-            Monotonic time.
+            Monotonic time, in s.
 
         Returns
         -------
         Checkout
-            Must be released.
+            The caller must release it.
 
         Raises
         ------
         DeadlineExceeded
-            If the deadline passes; nothing was sent.
+            If the deadline passes; no statement was sent.
         Overloaded
             If the queue is full.
         TargetUnreachable
-            If the database refuses connections.
+            If the database cannot be reached.
         """
         now = self._reactor.seconds()
         if now >= deadline:
-            raise _too_late()
+            raise _deadline_exceeded()
         while self.state.idle and not len(self._queue):
             connection = self.state.idle.pop()
             if connection.is_open:
-                return self._lend(connection)
-        turn: Deferred[Checkout] = Deferred()
-        charged = team if self._is_fair else ""
+                return self._check_out(connection)
+        granted: Deferred[Checkout] = Deferred()
+        queue_team = team if self._is_fair else ""
         item = self._queue.push(
-            turn, team=charged, weight=weight, deadline=deadline, now=now
+            granted, team=queue_team, weight=weight, deadline=deadline, now=now
         )
         timer = self._reactor.callLater(deadline - now, self._expire, item)
         self._dispatch()
         try:
-            return await turn
+            return await granted
         except CancelledError:
             self._queue.discard(item)
             raise
@@ -166,46 +167,48 @@
             if timer.active():
                 timer.cancel()
 
-    def take_back(self, connection: SqlConnection, *, is_clean: bool) -> None:
+    def return_connection(self, connection: SqlConnection, *, is_clean: bool) -> None:
         """Return a connection after use."""
         self.state.busy.discard(connection)
         now = self._reactor.seconds()
         if self._completed_at:
             self._queue.record_service(min(1.0, now - self._completed_at))
         self._completed_at = now
-        over = self.state.open >= self.account.total and self.account.recall > 0
-        if not is_clean or self._is_closed or over:
+        exceeds_permits = (
+            self.state.open >= self.account.total and self.account.recall > 0
+        )
+        if not is_clean or self._is_closed or exceeds_permits:
             connection.abort()
         elif connection.is_open:
             self.state.idle.append(connection)
         self._dispatch()
 
     def close(self) -> None:
-        """Close idle connections and refuse those that wait; busy ones end."""
+        """Close idle connections and fail waiters; busy ones close when returned."""
         self._is_closed = True
         self._permits.close_account(self.target.name)
         for connection in self.state.idle:
             connection.abort()
         self.state.idle.clear()
-        self._fail_waiting("The target is no longer part of the configuration.")
+        self._fail_waiters("The target is no longer part of the configuration.")
 
     def abort_all(self) -> None:
-        """Break all connections; requests in progress end in doubt."""
+        """Abort all connections; the outcome of running requests is unknown."""
         for connection in list(self.state.busy):
             connection.abort()
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Close idle connections, for example of a leaving target."""
+        """Close idle connections, for example of a target that is being removed."""
         for connection in self.state.idle:
             connection.abort()
         self.state.idle.clear()
 
     def _usage(self) -> tuple[int, int]:
-        wanted = len(self.state.busy) + len(self._queue)
-        return self.state.open, wanted
+        demand = len(self.state.busy) + len(self._queue)
+        return self.state.open, demand
 
-    def _lend(self, connection: SqlConnection) -> Checkout:
+    def _check_out(self, connection: SqlConnection) -> Checkout:
         self.state.busy.add(connection)
         return Checkout(connection, self)
 
@@ -214,27 +217,27 @@
             connection = self.state.idle.pop()
             if not connection.is_open:
                 continue
-            if not self._hand_to_next(connection):
+            if not self._assign_to_next(connection):
                 self.state.idle.append(connection)
                 return
-        missing = len(self._queue) - self.state.opening
+        needed = len(self._queue) - self.state.opening
         free = self.account.total - self.state.open
-        for _ in range(min(missing, free)):
+        for _ in range(min(needed, free)):
             self.state.opening += 1
             Deferred.fromCoroutine(self._open())
-        if missing > free:
+        if needed > free:
             self._permits.ask(self.target.name)
 
-    def _hand_to_next(self, connection: SqlConnection) -> bool:
+    def _assign_to_next(self, connection: SqlConnection) -> bool:
         now = self._reactor.seconds()
         while True:
             item = self._queue.pop(now=now)
             if item is None:
                 return False
             if item.deadline <= now:
-                item.value.errback(_too_late())
+                item.value.errback(_deadline_exceeded())
                 continue
-            item.value.callback(self._lend(connection))
+            item.value.callback(self._check_out(connection))
             return True
 
     async def _open(self) -> None:
@@ -259,11 +262,11 @@
 
     def _on_connect_failed(self, error: GuavabarrowError) -> None:
         if isinstance(error, TargetBroken) and not self.state.open:
-            self._fail_waiting(f"The target cannot be reached: {error}")
+            self._fail_waiters(f"The target cannot be reached: {error}")
             return
         self._reactor.callLater(CONNECT_BACKOFF_S, self._dispatch)
 
-    def _fail_waiting(self, reason: str) -> None:
+    def _fail_waiters(self, reason: str) -> None:
         now = self._reactor.seconds()
         while (item := self._queue.pop(now=now)) is not None:
             item.value.errback(TargetUnreachable(reason))
@@ -274,10 +277,10 @@
 
     def _expire(self, item: QueuedItem[Deferred[Checkout]]) -> None:
         if self._queue.discard(item):
-            item.value.errback(_too_late())
+            item.value.errback(_deadline_exceeded())
 
 
-def _too_late() -> DeadlineExceeded:
+def _deadline_exceeded() -> DeadlineExceeded:
     return DeadlineExceeded(
         "No connection to the database was free before the deadline.",
         retry_after_s=CONNECT_BACKOFF_S,
--- a/packages/guavabarrow-daemon/tests/test_permit_pool.py
+++ b/packages/guavabarrow-daemon/tests/test_permit_pool.py
@@ -1,4 +1,4 @@
-"""The pool of one target, with a fake driver and virtual time."""
+"""Tests the permit pool of one target with a fake driver and a simulated clock."""
 
 from types import SimpleNamespace
 
@@ -38,7 +38,7 @@
 
 
 class FakePermits:
-    """Grants a fixed number."""
+    """Grants a fixed number of permits."""
 
     def __init__(self, total):
         self.total = total
@@ -54,17 +54,17 @@
 
 
 @pytest.fixture
-def setting():
+def environment():
     return SimpleNamespace(clock=Clock(), driver=FakeDriver())
 
 
-def create_pool(setting, total=1, **options):
+def create_pool(environment, total=1, **options):
     return PermitPool(
         Target("t", "d", "127.0.0.1", 1),
         ("127.0.0.1", 1),
-        driver=setting.driver,
+        driver=environment.driver,
         permits=FakePermits(total),
-        reactor=setting.clock,
+        reactor=environment.clock,
         **options,
     )
 
@@ -78,51 +78,51 @@
     return outcome
 
 
-def test_connection_is_used_by_one_caller_at_a_time(setting):
-    pool = create_pool(setting)
+def test_connection_is_used_by_one_caller_at_a_time(environment):
+    pool = create_pool(environment)
     first, second = acquire(pool), acquire(pool)
-    assert len(setting.driver.opened) == 1
+    assert len(environment.driver.opened) == 1
     assert not second
     first[0].release(is_clean=True)
     assert second[0].connection is first[0].connection
 
 
-def test_connection_in_doubt_is_not_used_again(setting):
-    pool = create_pool(setting)
+def test_unclean_connection_is_not_reused(environment):
+    pool = create_pool(environment)
     first, second = acquire(pool), acquire(pool)
     first[0].release(is_clean=False)
     assert not first[0].connection.is_open
     assert second[0].connection is not first[0].connection
 
 
-def test_connection_is_returned_only_once(setting):
-    pool = create_pool(setting, total=2)
+def test_connection_is_returned_only_once(environment):
+    pool = create_pool(environment, total=2)
     first = acquire(pool)
     first[0].release(is_clean=True)
     first[0].release(is_clean=True)
     assert len(pool.state.idle) == 1
 
 
-def test_passed_deadline_is_refused_even_if_a_connection_is_idle(setting):
-    pool = create_pool(setting)
+def test_acquire_after_the_deadline_fails_even_with_an_idle_connection(environment):
+    pool = create_pool(environment)
     acquire(pool)[0].release(is_clean=True)
-    setting.clock.advance(11.0)
+    environment.clock.advance(11.0)
     outcome = acquire(pool, deadline=10.0)
     assert outcome[0].check(DeadlineExceeded)
     assert len(pool.state.idle) == 1
 
 
-def test_waiting_ends_at_the_deadline(setting):
-    pool = create_pool(setting)
+def test_waiter_fails_at_its_deadline(environment):
+    pool = create_pool(environment)
     acquire(pool)
     waiting = acquire(pool, deadline=1.0)
-    setting.clock.advance(1.1)
+    environment.clock.advance(1.1)
     assert waiting[0].check(DeadlineExceeded)
     assert pool.queued == 0
 
 
-def test_full_queue_refuses_one_team_and_not_the_other(setting):
-    pool = create_pool(setting)
+def test_full_queue_of_one_team_does_not_affect_another(environment):
+    pool = create_pool(environment)
     acquire(pool)
     for _ in range(MAX_QUEUED_PER_TEAM):
         assert not acquire(pool, team="big")
@@ -132,8 +132,8 @@
     assert not acquire(pool, team="small")
 
 
-def test_teams_share_by_weight(setting):
-    pool = create_pool(setting)
+def test_teams_are_served_in_proportion_to_weight(environment):
+    pool = create_pool(environment)
     holding = acquire(pool)
     waiting = {
         (team, number): acquire(pool, team=team, weight=weight)
@@ -150,14 +150,14 @@
     assert 28 <= big <= 32
 
 
-def test_unreachable_target_fails_those_that_wait(setting):
-    setting.driver.is_down = True
-    pool = create_pool(setting)
+def test_unreachable_target_fails_waiters(environment):
+    environment.driver.is_down = True
+    pool = create_pool(environment)
     assert acquire(pool)[0].check(TargetUnreachable)
 
 
-def test_closed_pool_refuses_and_keeps_running_work(setting):
-    pool = create_pool(setting)
+def test_close_fails_waiters_and_keeps_busy_connections(environment):
+    pool = create_pool(environment)
     running, waiting = acquire(pool), acquire(pool)
     pool.close()
     assert waiting[0].check(TargetUnreachable)
