--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/interface.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/interface.py
@@ -27,14 +27,14 @@
 
 
 class TargetRefused(GuavabarrowError):
-    """A target refused a request or a session, which therefore had no effect.
+    """A target refused a request or a session; the request had no effect.
 
     Parameters
     ----------
     code : str
-        Code of the target protocol.
+        Error code of the target protocol.
     detail : str
-        Text for people.
+        Human-readable explanation.
     """
 
     def __init__(self, code: str, detail: str = "") -> None:
@@ -44,7 +44,7 @@
 
 
 class TargetBroken(GuavabarrowError):
-    """The connection broke or timed out; a write may have taken effect."""
+    """A connection was lost or timed out; a write may have taken effect."""
 
 
 class TargetUnreachable(GuavabarrowError):
@@ -53,9 +53,9 @@
     Parameters
     ----------
     detail : str
-        What happened.
+        Human-readable explanation.
     is_refused : bool
-        Whether its machine answered that nothing listens.
+        Whether the target's machine answered that no process listens on the port.
     """
 
     def __init__(self, detail: str, *, is_refused: bool = False) -> None:
@@ -64,7 +64,7 @@
 
 
 class TargetConnection(ABC):
-    """One client connection; it carries at most one transaction."""
+    """One client connection with at most one open transaction."""
 
     @property
     @abstractmethod
@@ -73,15 +73,15 @@
 
     @abstractmethod
     def set_on_lost(self, callback: Callable[[], None]) -> None:
-        """Set what is called when the connection is lost."""
+        """Set the callback for the loss of the connection."""
 
     @abstractmethod
     def abort(self) -> None:
-        """Close at once; the target rolls back."""
+        """Close at once; the target rolls back an open transaction."""
 
 
 class SqlConnection(TargetConnection):
-    """Connection to a database that takes statements with their term."""
+    """Connection to a database whose writes name the term of the primary."""
 
     @abstractmethod
     async def execute(self, message: Execute, *, timeout_s: float) -> Result:
@@ -90,9 +90,9 @@
         Raises
         ------
         TargetRefused
-            If it had no effect.
+            If the database refused the statement, which had no effect.
         TargetBroken
-            If its outcome is unknown.
+            If the outcome is unknown.
         """
 
     @abstractmethod
@@ -113,23 +113,23 @@
 
 
 class TargetControl(ABC):
-    """Control requests to one database, outside of its client connections."""
+    """Control requests to one database, separate from its client connections."""
 
     @abstractmethod
     async def watch(self, message: Watch, *, timeout_s: float) -> Status:
-        """Return the status once it changes or the hold ends."""
+        """Return the status once it changes or the hold time ends."""
 
     @abstractmethod
     async def status(self, *, timeout_s: float) -> Status:
-        """Return the status at once, beside a running watch."""
+        """Return the current status at once, even while a watch is running."""
 
     @abstractmethod
     async def fence(self, term: int, owner: str, *, timeout_s: float) -> FenceAnswer:
-        """Ask for a promise."""
+        """Request a promise of ``term`` to ``owner``."""
 
     @abstractmethod
     async def promote(self, term: int, owner: str, *, timeout_s: float) -> bool:
-        """Ask it to become primary."""
+        """Request that the database becomes primary; return whether it accepted."""
 
     @abstractmethod
     def close(self) -> None:
@@ -141,7 +141,7 @@
 
     @abstractmethod
     async def connect(
-        self, host: str, port: int, opening: OpenSession | None = None
+        self, host: str, port: int, open_message: OpenSession | None = None
     ) -> ConnectionType:
         """Open a client connection.
 
@@ -149,21 +149,22 @@
         ----------
         host, port : str, int
             Address of the target.
-        opening : OpenSession, optional
-            Service, team and expected target, for kinds whose connections have one.
+        open_message : OpenSession, optional
+            Service, team and expected target, for targets whose connections are
+            sessions.
 
         Raises
         ------
         TargetRefused
-            If the target does not take it.
+            If the target refuses the connection.
         TargetBroken or TargetUnreachable
-            If it cannot be reached.
+            If the target cannot be reached.
         """
 
 
 class SqlDriver(TargetDriver[SqlConnection]):
-    """Driver for databases that take statements with their term."""
+    """Driver for databases whose writes name the term of the primary."""
 
     @abstractmethod
     def control(self, host: str, port: int) -> TargetControl:
-        """Return a control client; it connects when used."""
+        """Return a control client, which connects on first use."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_connection.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a target: statements in order, answers matched to them."""
+"""One connection to a target; replies are matched to statements by their order."""
 
 from __future__ import annotations
 
@@ -36,21 +36,23 @@
 
     from guavabarrow_daemon.session_codec import TargetCodec
 
-SILENCE_LIMIT_MS = 700
-"""Unacknowledged bytes for this long end a connection: two lost packets in a row are
-repaired sooner, and a statement still has time to go elsewhere."""
+UNACKED_TIMEOUT_MS = 700
+"""A connection is closed when sent bytes stay unacknowledged for this long. Two packets
+lost in a row are retransmitted sooner, and a statement still has time to be sent to
+another target."""
 
 
 @dataclass(slots=True)
 class PendingReply:
-    """A statement that was sent.
+    """A statement that awaits its reply.
 
     Parameters
     ----------
     result : Deferred or None
-        Gets the reply; None if only a failure matters.
+        Fires with the reply; None for a setup statement, whose reply is only checked
+        for failure.
     sent_at : float
-        Local time, in s.
+        Local time at which it was sent, in s.
     """
 
     result: Deferred[Reply] | None
@@ -63,22 +65,22 @@
     Parameters
     ----------
     codec : TargetCodec
-        Translates messages.
-    opening : OpenSession
+        Encodes and decodes messages.
+    open_message : OpenSession
         Service, team and expected target.
 
     Attributes
     ----------
     opened : Deferred
-        Fires with the connection once the target took the session.
+        Fires with the connection once the target has accepted the session.
     values : ConnectionValues
-        What earlier sessions left on it.
+        Session values and prepared statements left by earlier sessions.
     """
 
-    def __init__(self, codec: TargetCodec, opening: OpenSession) -> None:
+    def __init__(self, codec: TargetCodec, open_message: OpenSession) -> None:
         self._codec = codec
-        self.opening = opening
-        self.team = opening.principal
+        self.open_message = open_message
+        self.team = open_message.principal
         self.opened: Deferred[SessionConnection] = Deferred(lambda _: self.abort())
         self.values = ConnectionValues()
         self.state = TransactionState.IDLE
@@ -90,33 +92,34 @@
         self._outcome: Completed | StatementFailed | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Open the session."""
+        """Send the message that opens the session."""
         self._is_open = True
-        set_socket_limits(self.transport, SILENCE_LIMIT_MS)
-        self.transport.write(self._codec.encode_open(self.opening))
+        set_socket_limits(self.transport, UNACKED_TIMEOUT_MS)
+        self.transport.write(self._codec.encode_open(self.open_message))
 
-    def send(self, data: bytes, preparations: int, now: float) -> Deferred[Reply]:
-        """Send preparing statements and one whose reply matters, in one write.
+    def send(self, data: bytes, setup_count: int, now: float) -> Deferred[Reply]:
+        """Send setup statements and the main statement in one write.
 
         Parameters
         ----------
         data : bytes
-            All statements.
-        preparations : int
-            How many of them come before the one whose reply matters.
+            All statements, encoded.
+        setup_count : int
+            Number of setup statements before the main statement.
         now : float
             Local time, in s.
 
         Returns
         -------
         Deferred of Reply
-            Fails with :class:`TargetBroken`; cancelling aborts.
+            Reply to the main statement. Fails with :class:`TargetBroken`; cancelling it
+            aborts the connection.
         """
         result: Deferred[Reply] = Deferred(lambda _: self.abort())
         if not self._is_open:
             result.errback(TargetBroken("The connection is closed."))
             return result
-        for _ in range(preparations):
+        for _ in range(setup_count):
             self._pending.append(PendingReply(None, now))
         self._pending.append(PendingReply(result, now))
         self.transport.write(data)
@@ -128,29 +131,29 @@
         return self._is_open
 
     def set_on_lost(self, callback: Callable[[], None]) -> None:
-        """Set what is called when the connection is lost."""
+        """Set the callback for the loss of the connection."""
         self._on_lost = callback
 
     @property
     def has_pending(self) -> bool:
-        """Whether answers are outstanding."""
+        """Whether replies are outstanding."""
         return bool(self._pending)
 
     def abort(self) -> None:
-        """Close at once; the target rolls back what is open."""
+        """Close at once; the target rolls back an open transaction."""
         if self._is_open:
             self._is_open = False
             self.transport.abortConnection()
 
     def close(self) -> None:
-        """End an idle session."""
+        """Close an idle session in an orderly way."""
         if self._is_open:
             self._is_open = False
             self.transport.write(self._codec.encode_close())
             self.transport.loseConnection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take answers."""
+        """Process messages from the target."""
         for message in self._codec.feed(data):
             if not self._is_open:
                 return
@@ -169,7 +172,7 @@
                     self.abort()
 
     def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:  # noqa: N802
-        """Fail everything that is outstanding."""
+        """Fail all outstanding statements."""
         self._is_open = False
         if not self.opened.called:
             self.opened.errback(TargetBroken("The session was not opened."))
@@ -199,25 +202,25 @@
             pending.result.callback(reply)
 
 
-def set_socket_limits(transport: Any, silence_ms: int) -> None:
-    """Disable delays, and let silence end the connection.
+def set_socket_limits(transport: Any, unacked_timeout_ms: int) -> None:
+    """Disable Nagle's algorithm and set the timeouts for a dead peer.
 
     Parameters
     ----------
     transport : ITCPTransport
         Connected socket.
-    silence_ms : int
-        Time after which unacknowledged bytes end the connection.
+    unacked_timeout_ms : int
+        Time after which unacknowledged bytes close the connection, in ms.
     """
     transport.setTcpNoDelay(True)
     transport.setTcpKeepAlive(True)
     handle = transport.getHandle()
-    handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, silence_ms)
+    handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_timeout_ms)
     handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
     handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
     handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
 
 
 def idle_s(connection: SessionConnection) -> float:
-    """Return for how long a connection has not been used, in s."""
+    """Return how long a connection has been idle, in s."""
     return now_s() - connection.idle_since
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_driver.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_driver.py
@@ -1,4 +1,4 @@
-"""Opens sessions with targets that speak the line protocol."""
+"""Driver for targets that use the line protocol."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     from guavabarrow_daemon.session_codec import TargetCodec
 
 CONNECT_TIMEOUT_S = 0.35
-"""A few crossings; a lost opening packet is sent again only after a second."""
+"""A few one-way network delays; a lost SYN packet is retransmitted only after 1 s."""
 
 
 class SessionDriver(TargetDriver[SessionConnection]):
@@ -35,7 +35,7 @@
     reactor : object
         Reactor that owns the sockets.
     opening_limit_s : float
-        Time that a reached target has to take the session, in s.
+        Time within which a connected target must accept the session, in s.
     """
 
     def __init__(
@@ -50,35 +50,37 @@
         self._opening_limit_s = opening_limit_s
 
     async def connect(
-        self, host: str, port: int, opening: OpenSession | None = None
+        self, host: str, port: int, open_message: OpenSession | None = None
     ) -> SessionConnection:
         """Open a session.
 
         Raises
         ------
         ValueError
-            If it is not said whose session.
+            If ``open_message`` is missing.
         TargetRefused
-            If the target does not take it.
+            If the target refuses the session.
         TargetBroken
-            If the target was reached and did not take it in time.
+            If the target was reached but did not accept the session in time.
         TargetUnreachable
-            If it was not reached.
+            If no connection to the target could be opened.
         """
-        if opening is None:
-            raise ValueError("A session needs a service and a target.")
-        connection = SessionConnection(self._create_codec(), opening)
+        if open_message is None:
+            raise ValueError("open_message is required to open a session")
+        connection = SessionConnection(self._create_codec(), open_message)
         endpoint = TCP4ClientEndpoint(
             self._reactor, host, port, timeout=CONNECT_TIMEOUT_S
         )
         try:
             await connectProtocol(endpoint, connection)
         except ConnectionRefusedError as error:
-            raise TargetUnreachable("refused", is_refused=True) from error
+            raise TargetUnreachable("connection refused", is_refused=True) from error
         except ConnectError as error:
             raise TargetUnreachable(f"{type(error).__name__}: {error}") from error
         connection.opened.addTimeout(self._opening_limit_s, self._reactor)
         try:
             return await connection.opened
         except (TimeoutError, CancelledError) as error:
-            raise TargetBroken("The target did not take the session.") from error
+            raise TargetBroken(
+                "The target did not accept the session in time."
+            ) from error
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/target_questions.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/target_questions.py
@@ -1,4 +1,4 @@
-"""Questions and orders to a target on a fresh connection of their own."""
+"""Status queries and demotion requests to targets, each on a new connection."""
 
 from __future__ import annotations
 
@@ -23,15 +23,16 @@
     from guavabarrow_daemon.session_codec import TargetCodec
     from guavabarrow_daemon.targets.session_connection import SessionConnection
 
-OPENING_LIMIT_S = 0.35
-"""A handshake takes 12 ms and a few crossings between failure domains."""
+OPEN_TIMEOUT_S = 0.35
+"""A handshake takes 12 ms and a few one-way delays between failure domains."""
 
 ANSWER_TIMEOUT_S = 0.3
-"""A status takes under 1 ms and a few crossings, but may wait for a slot."""
+"""A status query takes under 1 ms and a few one-way delays, but may wait for a slot of
+the target."""
 
 
 class TargetQuestions:
-    """Asks targets on connections that name no team.
+    """Sends administrative requests on connections that belong to no team.
 
     Parameters
     ----------
@@ -43,28 +44,28 @@
 
     def __init__(self, create_codec: Callable[[], TargetCodec], reactor: Any) -> None:
         self._driver = SessionDriver(
-            create_codec, reactor, opening_limit_s=OPENING_LIMIT_S
+            create_codec, reactor, opening_limit_s=OPEN_TIMEOUT_S
         )
         self._codec = create_codec()
         self._reactor = reactor
 
     async def dial(self, entry: TargetEntry) -> SessionConnection:
-        """Open a connection.
+        """Open a connection to a target.
 
         Raises
         ------
         TargetUnreachable
-            If the target did not take it.
+            If the target cannot be reached or refuses the session.
         """
-        opening = OpenSession(entry.service, "", entry.target_id)
+        open_message = OpenSession(entry.service, "", entry.target_id)
         try:
-            return await self._driver.connect(entry.host, entry.port, opening)
+            return await self._driver.connect(entry.host, entry.port, open_message)
         except (TargetRefused, TargetBroken) as error:
             raise TargetUnreachable(str(error)) from error
 
     async def status(self, entry: TargetEntry) -> TargetStatus | None:
-        """Return where a target's log ends, None if it does not say."""
-        reply = await self._ask(entry, self._codec.encode_status())
+        """Return the end of a target's log, or None without a valid answer."""
+        reply = await self._request(entry, self._codec.encode_status())
         if reply is None or reply.failure is not None:
             return None
         try:
@@ -74,9 +75,9 @@
             return None
 
     async def statuses(self, entries: list[TargetEntry]) -> dict[str, TargetStatus]:
-        """Return where the logs end of those targets that say so."""
-        asked = [Deferred.fromCoroutine(self.status(entry)) for entry in entries]
-        results = await DeferredList(asked, consumeErrors=True)
+        """Return the end of the log of each target that answers, by target id."""
+        replies = [Deferred.fromCoroutine(self.status(entry)) for entry in entries]
+        results = await DeferredList(replies, consumeErrors=True)
         return {
             entry.target_id: status
             for entry, (_, status) in zip(entries, results, strict=True)
@@ -84,8 +85,8 @@
         }
 
     async def demote(self, entry: TargetEntry, term: int) -> None:
-        """Tell a target to stop leading because a term begins."""
-        reply = await self._ask(entry, self._codec.encode_demote(term))
+        """Demote a target because a new term begins."""
+        reply = await self._request(entry, self._codec.encode_demote(term))
         log_decision(
             "primary_demoted" if reply else "demotion_unanswered",
             target=entry.target_id,
@@ -93,16 +94,16 @@
             answer=list(reply.rows) if reply else [],
         )
 
-    async def _ask(self, entry: TargetEntry, data: bytes) -> Reply | None:
+    async def _request(self, entry: TargetEntry, data: bytes) -> Reply | None:
         try:
             connection = await self.dial(entry)
         except TargetUnreachable as error:
             log_decision("target_unanswered", target=entry.target_id, detail=str(error))
             return None
-        asked = connection.send(data, 0, now_s())
-        asked.addTimeout(ANSWER_TIMEOUT_S, self._reactor)
+        reply = connection.send(data, 0, now_s())
+        reply.addTimeout(ANSWER_TIMEOUT_S, self._reactor)
         try:
-            return await asked
+            return await reply
         except (TargetBroken, TimeoutError) as error:
             log_decision("target_unanswered", target=entry.target_id, detail=str(error))
             return None
