--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/__init__.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to targets over two protocols, behind the same abstract classes."""
+"""Connections to targets over HTTP and the line protocol, with common base classes."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/http_driver.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/http_driver.py
@@ -1,4 +1,4 @@
-"""Databases over HTTP/1.1 and JSON."""
+"""Driver for databases that use HTTP/1.1 and JSON."""
 
 from __future__ import annotations
 
@@ -46,17 +46,17 @@
 
 
 class Empty(msgspec.Struct, frozen=True):
-    """Answer without content."""
+    """Request or answer without content."""
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """Answer to a promotion."""
+    """Answer to a promotion request."""
 
     accepted: bool
 
 
 class HttpTargetConnection(SqlConnection):
-    """Client connection over one TCP connection."""
+    """Client connection to a database over one TCP connection."""
 
     def __init__(self, connection: HttpClientConnection, reactor: Any) -> None:
         self._connection = connection
@@ -68,47 +68,47 @@
         return self._connection.is_open
 
     def set_on_lost(self, callback: Callable[[], None]) -> None:
-        """Set what is called when the connection is lost."""
+        """Set the callback for the loss of the connection."""
         self._connection.on_lost = callback
 
     async def execute(self, message: Execute, *, timeout_s: float) -> Result:
         """Run a statement."""
-        return await self._call("/execute", message, Result, timeout_s)
+        return await self._send("/execute", message, Result, timeout_s)
 
     async def begin(self, term: int, *, timeout_s: float) -> None:
         """Open a transaction."""
-        await self._call("/begin", Begin(term), Empty, timeout_s)
+        await self._send("/begin", Begin(term), Empty, timeout_s)
 
     async def commit(self, message: Commit, *, timeout_s: float) -> Result:
         """Commit the open transaction."""
-        return await self._call("/commit", message, Result, timeout_s)
+        return await self._send("/commit", message, Result, timeout_s)
 
     async def reset(self, *, timeout_s: float) -> None:
-        """Roll back."""
-        await self._call("/reset", Empty(), Empty, timeout_s)
+        """Roll back and clear the state of the connection."""
+        await self._send("/reset", Empty(), Empty, timeout_s)
 
     async def resolve(self, message: Resolve, *, timeout_s: float) -> Resolved:
-        """Look up an outcome."""
-        return await self._call("/resolve", message, Resolved, timeout_s)
+        """Look up the outcome of a request, or rule it out."""
+        return await self._send("/resolve", message, Resolved, timeout_s)
 
     async def connect(self, credential: str) -> None:
-        """Authenticate this VM at the database."""
-        await self._call("/connect", Connect(credential), Empty, CONNECT_TIMEOUT_S)
+        """Authenticate this VM to the database."""
+        await self._send("/connect", Connect(credential), Empty, CONNECT_TIMEOUT_S)
 
     def abort(self) -> None:
         """Close at once."""
         self._connection.abort()
 
-    async def _call(
+    async def _send(
         self, path: str, message: object, answer_type: type[Answer], timeout_s: float
     ) -> Answer:
-        return await call(
+        return await send_request(
             self._connection, path, message, answer_type, timeout_s, self._reactor
         )
 
 
 class HttpTargetControl(TargetControl):
-    """Control client with one connection for watching and one for commands."""
+    """Control client with separate connections for watches, probes and commands."""
 
     def __init__(self, host: str, port: int, reactor: Any) -> None:
         self._address = (host, port)
@@ -116,22 +116,22 @@
         self._connection_by_use: dict[str, HttpClientConnection] = {}
 
     async def watch(self, message: Watch, *, timeout_s: float) -> Status:
-        """Return the status."""
-        return await self._call("watch", "/status", message, Status, timeout_s)
+        """Return the status once it changes or the hold time ends."""
+        return await self._send("watch", "/status", message, Status, timeout_s)
 
     async def status(self, *, timeout_s: float) -> Status:
         """Return the status at once."""
-        return await self._call("probe", "/status", Watch(), Status, timeout_s)
+        return await self._send("probe", "/status", Watch(), Status, timeout_s)
 
     async def fence(self, term: int, owner: str, *, timeout_s: float) -> FenceAnswer:
-        """Ask for a promise."""
+        """Request a promise of ``term`` to ``owner``."""
         message = Fence(term, owner)
-        return await self._call("command", "/fence", message, FenceAnswer, timeout_s)
+        return await self._send("command", "/fence", message, FenceAnswer, timeout_s)
 
     async def promote(self, term: int, owner: str, *, timeout_s: float) -> bool:
-        """Ask it to become primary."""
+        """Request that the database becomes primary; return whether it accepted."""
         message = Promote(term, owner)
-        answer = await self._call("command", "/promote", message, Accepted, timeout_s)
+        answer = await self._send("command", "/promote", message, Accepted, timeout_s)
         return answer.accepted
 
     def close(self) -> None:
@@ -140,7 +140,7 @@
             connection.abort()
         self._connection_by_use.clear()
 
-    async def _call(
+    async def _send(
         self,
         use: str,
         path: str,
@@ -158,20 +158,20 @@
             except ConnectionBroken as error:
                 raise TargetBroken(str(error)) from error
             self._connection_by_use[use] = connection
-        return await call(
+        return await send_request(
             connection, path, message, answer_type, timeout_s, self._reactor
         )
 
 
 class HttpTargetDriver(SqlDriver):
-    """Driver for databases that speak HTTP/1.1 and JSON.
+    """Driver for databases that use HTTP/1.1 and JSON.
 
     Parameters
     ----------
     reactor : object
         Reactor that owns the sockets.
     credential : str
-        Credential of this VM; callers' keys are never sent.
+        Credential of this VM; the keys of callers are never sent.
     """
 
     def __init__(self, reactor: Any, *, credential: str) -> None:
@@ -179,9 +179,9 @@
         self._credential = credential
 
     async def connect(
-        self, host: str, port: int, opening: OpenSession | None = None
+        self, host: str, port: int, open_message: OpenSession | None = None
     ) -> HttpTargetConnection:
-        """Open a client connection; it serves all teams."""
+        """Open a client connection, which all teams share."""
         try:
             raw = await open_connection(
                 self._reactor, host, port, timeout_s=CONNECT_TIMEOUT_S
@@ -201,7 +201,7 @@
         return HttpTargetControl(host, port, self._reactor)
 
 
-async def call(
+async def send_request(
     connection: HttpClientConnection,
     path: str,
     message: object,
@@ -209,15 +209,15 @@
     timeout_s: float,
     reactor: Any,
 ) -> Answer:
-    """Send one request and decode its answer.
+    """Send one request and decode the answer.
 
     Raises
     ------
     TargetRefused
-        If the database refused it without effect.
+        If the database refused the request, which had no effect.
     TargetBroken
-        If there was no answer; the connection is aborted, so that a late answer
-        cannot be taken for another one.
+        If there was no valid answer. The connection is aborted, so that a late answer
+        cannot be mistaken for the answer to another request.
     """
     pending = connection.request("POST", path, msgspec.json.encode(message))
     timer = reactor.callLater(max(0.0, timeout_s), pending.cancel)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/http_messages.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/http_messages.py
@@ -10,33 +10,33 @@
 
 
 class Connect(msgspec.Struct, frozen=True):
-    """Open a session on a connection; the credential is the VM's, never a caller's."""
+    """Open a session on a connection with the credential of the VM, not of a caller."""
 
     credential: str
     client: str = ""
 
 
 class Execute(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Run one statement, in the open transaction if there is one.
+    """Run one statement, within the open transaction if there is one.
 
     Parameters
     ----------
     sql : str
-        Statement.
+        Statement text.
     params : list
         Positional parameters.
     read : bool
-        Whether it only reads.
+        Whether the statement only reads.
     term : int
-        Writes: term of the primary that is addressed.
+        For writes, the term of the addressed primary.
     min_term, min_index : int
-        Reads: the log must satisfy this position.
+        For reads, the position that the log must satisfy.
     team : str
-        Owner of the request id.
+        Team that owns the request id.
     request_id : str
-        Id under which the outcome is recorded, empty for none.
+        Id under which the outcome is recorded; empty to record none.
     fingerprint : str
-        Hash of the request, to detect an id that is reused.
+        Hash of the request, which detects reuse of an id for another request.
     """
 
     sql: str
@@ -51,7 +51,7 @@
 
 
 class Begin(msgspec.Struct, frozen=True):
-    """Open a transaction at the primary of ``term``."""
+    """Open a transaction on the primary of ``term``."""
 
     term: int
 
@@ -65,7 +65,7 @@
 
 
 class Resolve(msgspec.Struct, frozen=True):
-    """Look an outcome up; if there is none, record that it must never run."""
+    """Look up the outcome of a request; without one, record that it must never run."""
 
     term: int
     team: str
@@ -73,7 +73,7 @@
 
 
 class Resolved(msgspec.Struct, frozen=True):
-    """Answer to :class:`Resolve`; ``result`` is None if the request never ran."""
+    """Answer to :class:`Resolve`; ``result`` is None if the request did not run."""
 
     result: Result | None
     term: int
@@ -90,7 +90,7 @@
     rows : list of list
         Rows of values.
     row_count : int
-        Rows changed by a write.
+        Number of rows that a write changed.
     term, index : int
         Log position after the statement.
     replayed : bool
@@ -111,7 +111,7 @@
 
 
 class Watch(msgspec.Struct, frozen=True):
-    """Ask for the status once it differs from what is known, or after a while."""
+    """Request the status once it differs from ``known_*`` or ``hold_ms`` has passed."""
 
     known_term: int = 0
     known_index: int = 0
@@ -129,15 +129,16 @@
     role : str
         ``primary`` or ``replica``.
     promised_term : int
-        Highest term promised.
+        Highest term that the database has promised.
     starts : list of (int, int)
-        Term and first index of the retained terms.
+        Term and first index of each retained term.
     last_index : int
         Index of the last log entry.
     link_age_ms : float or None
-        Milliseconds since a primary was heard, None if the link is broken.
+        Time since the last message from a primary, in ms; None if the connection to it
+        is broken.
     open_transactions : int
-        Transactions open on client connections.
+        Number of transactions open on client connections.
     """
 
     database: str
@@ -156,7 +157,7 @@
 
 
 class Fence(msgspec.Struct, frozen=True):
-    """Promise ``term`` to ``owner`` and refuse lower terms from then on."""
+    """Promise ``term`` to ``owner`` and refuse lower terms afterwards."""
 
     term: int
     owner: str
@@ -187,7 +188,7 @@
 
 
 class Replicate(msgspec.Struct, frozen=True):
-    """Log shipped from a primary to a peer."""
+    """Log entries that a primary sends to another database."""
 
     term: int
     primary: str
@@ -206,14 +207,14 @@
 
 
 class TargetProblem(msgspec.Struct, frozen=True):
-    """Typed refusal of a database; the request had no effect.
+    """Error answer of a database; the request had no effect.
 
     Parameters
     ----------
     code : str
         One of the ``CODE_`` constants.
     detail : str
-        Text for people.
+        Human-readable explanation.
     """
 
     code: str
--- a/packages/guavabarrow-daemon/tests/test_interfaces.py
+++ b/packages/guavabarrow-daemon/tests/test_interfaces.py
@@ -1,4 +1,4 @@
-"""Both protocols of callers, targets and stores stand behind the same classes."""
+"""Tests that the implementations for both protocols share their base classes."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 @pytest.mark.parametrize("front", [CallerApi, SessionFront])
-def test_fronts(front):
+def test_fronts_implement_the_interface(front):
     assert issubclass(front, CallerFront)
     assert not front.__abstractmethods__
 
 
 @pytest.mark.parametrize("driver", [HttpTargetDriver, SessionDriver])
-def test_drivers(driver):
+def test_drivers_implement_the_interface(driver):
     assert issubclass(driver, TargetDriver)
     assert not driver.__abstractmethods__
 
 
 @pytest.mark.parametrize("connection", [HttpTargetConnection, SessionConnection])
-def test_connections(connection):
+def test_connections_implement_the_interface(connection):
     assert issubclass(connection, TargetConnection)
     assert not connection.__abstractmethods__
