--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_connection.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_connection.py
@@ -112,8 +112,8 @@
         Returns
         -------
         Deferred of Reply
-            Reply to the main statement. Fails with :class:`TargetBroken`; cancelling it
-            aborts the connection.
+            Reply to the main statement. Fails with :class:`TargetBroken`;
+            cancelling it aborts the connection.
         """
         result: Deferred[Reply] = Deferred(lambda _: self.abort())
         if not self._is_open:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_pool.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_pool.py
@@ -277,7 +277,8 @@
         return (
             f"target={self.entry.target_id} open={len(self.connections)} "
             f"opening={self._opening_count} idle={len(self._idle)} "
-            f"waiting={len(self._waiters)} limit={self.even_part}-{self.most}"
+            f"waiting={len(self._waiters)} "
+            f"limit={self.even_part}-{self.most}"
         )
 
     def _serve_waiters(self) -> None:
