--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/__init__.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/__init__.py
@@ -1,1 +1,1 @@
-"""Callers whose session is a connection."""
+"""Frontend for callers that hold one session per connection."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/caller_session.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/caller_session.py
@@ -1,4 +1,4 @@
-"""One caller's session: its state, and what each of its statements leads to."""
+"""State of one caller's session, and the handling of its statements."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     TransactionState,
 )
 from guavabarrow_core.session_values import PreparedShape, SessionValues
-from guavabarrow_daemon.front.work import OpenTransaction, Work
+from guavabarrow_daemon.front.statement_context import OpenTransaction, StatementContext
 from guavabarrow_daemon.operations.clock import now_s
 from guavabarrow_daemon.operations.decision_log import log_decision
 
@@ -31,7 +31,7 @@
     from guavabarrow_daemon.front.session_router import SessionRouter
     from guavabarrow_daemon.session_codec import Answer
 
-PROMISE_CODES = frozenset(
+NO_EFFECT_CODES = frozenset(
     {
         FailureCode.OVERLOADED,
         FailureCode.ABORTED,
@@ -41,34 +41,34 @@
         FailureCode.TOO_MANY_CONNECTIONS,
     }
 )
-"""Codes that promise that nothing of the operation is kept."""
+"""Codes that guarantee that the operation has no lasting effect."""
 
 
-class SessionOver(Exception):
-    """The session must end after its answers were sent.
+class SessionTerminated(Exception):
+    """The session must be closed after its last answers were sent.
 
     Parameters
     ----------
     answers : list of Answer
-        Last answers.
+        Last answers to the caller.
     """
 
     def __init__(self, answers: list[Answer]) -> None:
-        super().__init__("session over")
+        super().__init__("session terminated")
         self.answers = answers
 
 
 class CallerSession:
-    """State of one session.
+    """State of one caller's session.
 
     Parameters
     ----------
     admission : SessionAdmission
-        Tells route and team, and keeps rates.
+        Resolves route and team, and applies the rate limits.
     router : SessionRouter
         Runs statements on targets.
     database, key : str
-        What the caller asked for and who it says it is.
+        Database that the caller opened, and the key that it presented.
     """
 
     def __init__(
@@ -92,30 +92,30 @@
         self._is_read_only = False
         self._has_token = False
         self._transaction: OpenTransaction | None = None
-        self._trail: list[str] = []
-        self._work_in_hand: Work | None = None
+        self._failed_attempts: list[str] = []
+        self._context: StatementContext | None = None
 
     async def handle(self, request: StatementRequest) -> list[Answer]:
         """Run one statement and return all of its answers.
 
         Raises
         ------
-        SessionOver
-            If the session must end.
+        SessionTerminated
+            If the session must be closed.
         """
         received_at = now_s()
         self.last_active_at = received_at
-        self._trail = []
-        self._work_in_hand = None
+        self._failed_attempts = []
+        self._context = None
         try:
             answers = await self._dispatch(request, received_at)
         except SessionError as error:
-            answers = self._fail(request, error, received_at)
+            answers = self._answer_failed(request, error, received_at)
         self.last_active_at = now_s()
         return answers
 
     def abandon(self, reason: str) -> None:
-        """Roll back because the caller left or was idle for too long."""
+        """Roll back the open transaction and log the reason."""
         transaction, self._transaction = self._transaction, None
         if transaction is not None:
             log_decision(
@@ -127,7 +127,7 @@
             Deferred.fromCoroutine(self._router.roll_back(transaction))
 
     def expire(self, limit_s: float) -> None:
-        """End a transaction that has been idle for longer than the limit."""
+        """Roll back a transaction that has been idle for longer than ``limit_s``."""
         if self._transaction is None or now_s() - self.last_active_at < limit_s:
             return
         self.abandon("idle")
@@ -141,19 +141,19 @@
         if kind is StatementKind.INVALID:
             raise SessionError(FailureCode.MALFORMED, "unknown statement")
         if self.state is TransactionState.FAILED:
-            return self._after_failure(kind)
+            return self._handle_after_failure(kind)
         if self.state is TransactionState.IDLE:
-            self._enter(received_at)
+            self._start_operation(received_at)
         elif self._admission.is_withdrawn(self.key, self.database):
             raise SessionError(FailureCode.ABORTED, "the key was withdrawn")
         match kind:
             case StatementKind.SET:
                 self._values.by_name[statement.name] = statement.argument
-                return self._done()
+                return self._completed()
             case StatementKind.PREPARE:
                 shape = PreparedShape(statement.argument, statement.writes)
                 self._values.prepared_by_name[statement.name] = shape
-                return self._done()
+                return self._completed()
             case StatementKind.DEALLOCATE:
                 return self._deallocate(statement)
             case StatementKind.BEGIN | StatementKind.BEGIN_READ_ONLY:
@@ -164,19 +164,19 @@
                 return await self._commit(request, received_at)
         return await self._forward(request, received_at)
 
-    def _enter(self, received_at: float) -> None:
+    def _start_operation(self, received_at: float) -> None:
         self._route, self._team = self._admission.look_up(self.database, self.key)
         self._began_at = received_at
 
     async def _begin(self, statement: Statement, received_at: float) -> list[Answer]:
         if self.state is TransactionState.OPEN:
-            raise SessionError(FailureCode.MALFORMED, "a transaction is open")
+            raise SessionError(FailureCode.MALFORMED, "a transaction is already open")
         await self._admission.rates.admit(self._team)
         self._has_token = True
         self._is_read_only = statement.kind is StatementKind.BEGIN_READ_ONLY
         self._began_at = received_at
         self.state = TransactionState.OPEN
-        return self._done()
+        return self._completed()
 
     def _roll_back(self) -> list[Answer]:
         if self.state is not TransactionState.OPEN:
@@ -188,25 +188,25 @@
         elif self._has_token:
             self._admission.rates.return_token(self._team)
         self._has_token = False
-        return self._done()
+        return self._completed()
 
     async def _commit(
         self, request: StatementRequest, received_at: float
     ) -> list[Answer]:
         if self.state is not TransactionState.OPEN:
             raise SessionError(FailureCode.MALFORMED, "no transaction is open")
-        work = self._work(request, received_at)
-        transaction = await self._open(work)
+        context = self._create_context(request, received_at)
+        transaction = await self._ensure_transaction(context)
         reply = await self._router.run_in_transaction(
-            work, transaction, request.statement, None
+            context, transaction, request.statement, None
         )
         self._transaction = None
         self._has_token = False
         if reply.failure is None:
             self.state = TransactionState.IDLE
-            self._note_position(transaction.at_primary, reply)
-            return self._answers(request, reply, received_at)
-        # The target ended the transaction without keeping it.
+            self._record_position(transaction.at_primary, reply)
+            return self._answer_completed(request, reply, received_at)
+        # COMMIT failed: the target rolled the transaction back.
         self.state = TransactionState.IDLE
         raise SessionError(reply.failure.code, reply.failure.detail)
 
@@ -223,40 +223,42 @@
                     FailureCode.UNKNOWN_PREPARED, f"{statement.name} is not prepared"
                 )
             writes = shape.writes
-        work = self._work(request, received_at)
+        context = self._create_context(request, received_at)
         if self.state is TransactionState.OPEN:
-            transaction = await self._open(work)
+            transaction = await self._ensure_transaction(context)
             reply = await self._router.run_in_transaction(
-                work, transaction, statement, shape
+                context, transaction, statement, shape
             )
             if reply.failure is not None:
                 if reply.ready.state is not TransactionState.OPEN:
                     self.state = TransactionState.FAILED
                     self.abandon(reply.failure.code.value)
                 raise SessionError(reply.failure.code, reply.failure.detail)
-            return self._answers(request, reply, received_at)
+            return self._answer_completed(request, reply, received_at)
         await self._admission.rates.admit(self._team)
         self._has_token = True
         if writes:
-            reply = await self._router.run_write(work, statement, shape)
-            self._note_position(True, reply)
+            reply = await self._router.run_write(context, statement, shape)
+            self._record_position(True, reply)
         else:
-            reply = await self._router.run_read(work, statement, shape)
+            reply = await self._router.run_read(context, statement, shape)
         self._has_token = False
-        return self._answers(request, reply, received_at)
+        return self._answer_completed(request, reply, received_at)
 
-    async def _open(self, work: Work) -> OpenTransaction:
+    async def _ensure_transaction(self, context: StatementContext) -> OpenTransaction:
         if self._transaction is None:
             self._transaction = await self._router.begin(
-                work, is_read_only=self._is_read_only
+                context, is_read_only=self._is_read_only
             )
         return self._transaction
 
-    def _work(self, request: StatementRequest, received_at: float) -> Work:
+    def _create_context(
+        self, request: StatementRequest, received_at: float
+    ) -> StatementContext:
         route = self._route
         if route is None:
-            raise SessionError(FailureCode.UNKNOWN_DATABASE, "no route")
-        self._work_in_hand = Work(
+            raise SessionError(FailureCode.UNKNOWN_DATABASE, "the session has no route")
+        self._context = StatementContext(
             route=route,
             team=self._team,
             request_id=request.request_id,
@@ -264,27 +266,31 @@
             deadline=received_at + route.timeout_s,
             values=self._values,
             session_position=self._position,
-            trail=self._trail,
+            failed_attempts=self._failed_attempts,
         )
-        return self._work_in_hand
+        return self._context
 
     def _deallocate(self, statement: Statement) -> list[Answer]:
         if self._values.prepared_by_name.pop(statement.name, None) is None:
             raise SessionError(
                 FailureCode.UNKNOWN_PREPARED, f"{statement.name} is not prepared"
             )
-        return self._done()
+        return self._completed()
 
-    def _after_failure(self, kind: StatementKind) -> list[Answer]:
+    def _handle_after_failure(self, kind: StatementKind) -> list[Answer]:
         if kind is StatementKind.ROLLBACK:
             self.state = TransactionState.IDLE
-            return self._done()
+            return self._completed()
         if kind is StatementKind.COMMIT:
             self.state = TransactionState.IDLE
-            raise SessionError(FailureCode.ABORTED, "the transaction had failed")
-        raise SessionError(FailureCode.MALFORMED, "the transaction has failed")
+            raise SessionError(
+                FailureCode.ABORTED, "the transaction had failed and was rolled back"
+            )
+        raise SessionError(
+            FailureCode.MALFORMED, "the transaction has failed; roll it back first"
+        )
 
-    def _note_position(self, at_primary: bool, reply: Reply) -> None:
+    def _record_position(self, at_primary: bool, reply: Reply) -> None:
         position = reply.ready.position
         if not at_primary or position is None:
             return
@@ -292,27 +298,29 @@
             self._position = position
 
     def _return_token(self) -> None:
-        """Give the operation's token back if no statement reached a target."""
-        work = self._work_in_hand
+        """Return the operation's rate token if no statement was sent to a target."""
+        context = self._context
         if not self._has_token or self._transaction is not None:
             return
-        if work is None or work.has_reached_target:
+        if context is None or context.was_sent_to_target:
             return
         self._has_token = False
         self._admission.rates.return_token(self._team)
 
-    def _done(self) -> list[Answer]:
+    def _completed(self) -> list[Answer]:
         return [Completed(), SessionReady(self.state)]
 
-    def _answers(
+    def _answer_completed(
         self, request: StatementRequest, reply: Reply, received_at: float
     ) -> list[Answer]:
-        self._admission.count(self._route, request, "completed", received_at, "")
+        self._admission.record_answer(
+            self._route, request, "completed", received_at, ""
+        )
         rows: list[Answer] = [Row(content) for content in reply.rows]
         ready = SessionReady(self.state, reply.ready.position)
         return [*rows, reply.outcome, ready]
 
-    def _fail(
+    def _answer_failed(
         self, request: StatementRequest, error: SessionError, received_at: float
     ) -> list[Answer]:
         code = error.code
@@ -327,10 +335,12 @@
         detail = error.detail
         if error.retry_after_s is not None:
             detail = f"{detail} retry_after_ms={int(error.retry_after_s * 1000)}"
-        if self._trail:
-            detail = f"{detail} after {' '.join(self._trail)}"
-        self._admission.count(self._route, request, code.value, received_at, detail)
+        if self._failed_attempts:
+            detail = f"{detail} after {' '.join(self._failed_attempts)}"
+        self._admission.record_answer(
+            self._route, request, code.value, received_at, detail
+        )
         failed = StatementFailed(code, detail)
         if code in (FailureCode.UNAUTHORIZED, FailureCode.UNKNOWN_DATABASE):
-            raise SessionOver([failed])
+            raise SessionTerminated([failed])
         return [failed, SessionReady(self.state)]
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/interface.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/interface.py
@@ -1,4 +1,4 @@
-"""Abstract base class of what callers connect to, over any protocol."""
+"""Abstract base class of the frontends that callers connect to, for any protocol."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class CallerFront(Service, ABC):
-    """Owner of the listening port for callers.
+    """Frontend that owns the listening port for callers.
 
     Attributes
     ----------
     address : str
-        Where it listens, as HOST:PORT.
+        Address that it listens on, as HOST:PORT.
     """
 
     address: str
@@ -21,21 +21,21 @@
     @property
     @abstractmethod
     def is_ready(self) -> bool:
-        """Whether the balancer should send new callers here."""
+        """Whether the load balancer should send new callers to this VM."""
 
     @property
     @abstractmethod
     def open_work(self) -> int:
-        """Statements and transactions that are not over."""
+        """Number of statements and transactions that are still running."""
 
     @abstractmethod
     async def start(self) -> None:
-        """Listen for callers."""
+        """Start listening for callers."""
 
     @abstractmethod
     async def drain(self) -> None:
-        """Take no new callers, and wait for running work within the grace."""
+        """Stop taking callers and wait for running work within the grace period."""
 
     @abstractmethod
     async def stop(self) -> None:
-        """Close what is left."""
+        """Close the remaining connections."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_admission.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_admission.py
@@ -1,4 +1,4 @@
-"""Which route and team a session has, and what its answers count as."""
+"""Resolves routes and teams of sessions, and records answers in metrics and log."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 if TYPE_CHECKING:
     from guavabarrow_core.session_configuration import Route, SessionConfiguration
 
-OPEN_TEAM = "-"
-"""Told to targets where a route needs no key and none was given."""
+ANONYMOUS_TEAM = "-"
+"""Team sent to targets for callers without a known key on an open route."""
 
 
 class SessionAdmission(Service):
-    """Routes and teams of connected sessions."""
+    """Access checks and answer statistics of connected sessions."""
 
     name = "session_admission"
 
@@ -34,7 +34,7 @@
 
     @property
     def configuration(self) -> SessionConfiguration | None:
-        """Version in force."""
+        """Configuration in force."""
         return self._fleet.configuration
 
     def look_up(self, database: str, key: str) -> tuple[Route, str]:
@@ -43,11 +43,12 @@
         Raises
         ------
         SessionError
-            If either is unknown.
+            If the database is unknown, the key is unknown on a route that requires one,
+            or there is no configuration yet.
         """
         configuration = self._fleet.configuration
         if configuration is None:
-            raise SessionError(FailureCode.OVERLOADED, "not configured yet")
+            raise SessionError(FailureCode.OVERLOADED, "no configuration yet")
         route = configuration.route_by_database.get(database)
         if route is None:
             raise SessionError(FailureCode.UNKNOWN_DATABASE, "unknown database")
@@ -55,18 +56,18 @@
         if team is None:
             if not route.is_open:
                 raise SessionError(FailureCode.UNAUTHORIZED, "unknown key")
-            team = OPEN_TEAM
+            team = ANONYMOUS_TEAM
         return route, team
 
     def is_withdrawn(self, key: str, database: str) -> bool:
-        """Tell whether a session's key or route is no longer in force."""
+        """Return whether a session's key or route is no longer in force."""
         try:
             self.look_up(database, key)
         except SessionError:
             return True
         return False
 
-    def count(
+    def record_answer(
         self,
         route: Route | None,
         request: StatementRequest,
@@ -74,7 +75,7 @@
         received_at: float,
         detail: str,
     ) -> None:
-        """Count an answer and log failures, and a sample of successes."""
+        """Update the metrics, and log every failure and a sample of successes."""
         elapsed_s = now_s() - received_at
         consistency = route.consistency.value if route else "none"
         outcome = "completed" if result == "completed" else "failed"
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_front.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_front.py
@@ -1,4 +1,4 @@
-"""Takes callers' connections, and closes them gently when the VM stops."""
+"""Accepts callers' connections, and drains them when the VM stops."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     TransactionState,
 )
 from guavabarrow_daemon.fleet.fleet_service import FleetService
-from guavabarrow_daemon.front.caller_session import CallerSession, SessionOver
+from guavabarrow_daemon.front.caller_session import CallerSession, SessionTerminated
 from guavabarrow_daemon.front.interface import CallerFront
 from guavabarrow_daemon.front.session_admission import SessionAdmission
 from guavabarrow_daemon.front.session_router import SessionRouter
@@ -40,26 +40,29 @@
     from guavabarrow_daemon.kernel import Kernel
     from guavabarrow_daemon.session_codec import Answer, CallerMessage, FrontCodec
 
-SILENCE_LIMIT_MS = 10000
-"""Callers behind slow links; longer than any statement's time limit."""
+UNACKED_TIMEOUT_MS = 10000
+"""Bytes unacknowledged for this long end a caller's connection. Callers may be behind
+slow links, so this is longer than any statement's timeout."""
 
-STARTUP_LIMIT_S = 5.0
-"""Time that a caller has for its first message."""
+STARTUP_TIMEOUT_S = 5.0
+"""Time within which a caller must send its first message."""
 
-MAX_QUEUED = 32
-"""Statements that a caller may send ahead of their answers."""
+MAX_PIPELINED = 32
+"""Messages that a caller may send ahead of their answers."""
 
 BACKLOG = 512
 EXPIRE_INTERVAL_S = 0.25
-BALANCER_NOTICE_S = 2.2
-"""Two missed questions of the balancer, once a second, and a margin."""
+BALANCER_REACTION_S = 2.2
+"""Time in which the load balancer stops sending callers: two failed readiness checks,
+one a second, and a margin."""
 
 CLOSE_SPREAD_S = 1.6
-"""Time over which idle sessions are closed, so that callers return in a trickle."""
+"""Time over which closing idle sessions is spread, so that callers don't reconnect all
+at once."""
 
 
 class CallerConnection(Protocol):
-    """One caller's connection; statements are run in order."""
+    """One caller's connection, whose statements run in order."""
 
     def __init__(self, front: SessionFront) -> None:
         self._front = front
@@ -71,24 +74,28 @@
         self.session: CallerSession | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Count the caller."""
+        """Register the connection, or refuse it if there are too many."""
         self._is_open = True
-        set_socket_limits(self.transport, SILENCE_LIMIT_MS)
+        set_socket_limits(self.transport, UNACKED_TIMEOUT_MS)
         if not self._front.add(self):
-            self._finish([StatementFailed(FailureCode.TOO_MANY_CONNECTIONS, "full")])
+            self._write_and_close(
+                [StatementFailed(FailureCode.TOO_MANY_CONNECTIONS, "too many sessions")]
+            )
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take messages."""
+        """Queue received messages and process them."""
         if not self._is_open:
             return
         self._queue.extend(self._codec.feed(data))
-        if len(self._queue) > MAX_QUEUED:
-            self._finish([StatementFailed(FailureCode.MALFORMED, "too many at once")])
+        if len(self._queue) > MAX_PIPELINED:
+            self._write_and_close(
+                [StatementFailed(FailureCode.MALFORMED, "too many messages sent ahead")]
+            )
             return
-        self._pump()
+        self._process_queue()
 
     def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:  # noqa: N802
-        """Roll back what is open."""
+        """Roll back the open transaction."""
         self._is_open = False
         self._queue.clear()
         self._front.remove(self)
@@ -97,51 +104,55 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no statement is outstanding and no transaction is open."""
+        """Whether no statement is running or queued and no transaction is open."""
         if self._is_busy or self._queue:
             return False
         return self.session is None or self.session.state is TransactionState.IDLE
 
     def expire(self, idle_transaction_s: float) -> None:
-        """End a transaction or a connection that is idle for too long."""
+        """End an idle transaction, or a connection without a session, on timeout."""
         if self._is_busy:
             return
         if self.session is not None:
             self.session.expire(idle_transaction_s)
-        elif now_s() - self._opened_at > STARTUP_LIMIT_S:
-            self._finish([StatementFailed(FailureCode.MALFORMED, "no session opened")])
+        elif now_s() - self._opened_at > STARTUP_TIMEOUT_S:
+            self._write_and_close(
+                [StatementFailed(FailureCode.MALFORMED, "no session opened in time")]
+            )
 
     def close_idle(self) -> None:
-        """Close between two statements."""
+        """Close the connection if it is idle."""
         if self._is_open and self.is_idle:
             self._is_open = False
             self.transport.loseConnection()
 
-    def _pump(self) -> None:
+    def _process_queue(self) -> None:
         while self._queue and not self._is_busy and self._is_open:
             message = self._queue.popleft()
             match message:
                 case OpenSession() if self.session is None:
-                    self._open(message)
+                    self._open_session(message)
                 case StatementRequest() if self.session is not None:
                     self._is_busy = True
                     Deferred.fromCoroutine(self._run(self.session, message)).addErrback(
-                        self._on_bug, message
+                        self._on_internal_error, message
                     )
                 case CloseSession():
-                    self._finish([])
+                    self._write_and_close([])
                 case MalformedMessage(detail):
                     code = (
                         FailureCode.TOO_LARGE
                         if "large" in detail
                         else FailureCode.MALFORMED
                     )
-                    self._finish([StatementFailed(code, detail)])
+                    self._write_and_close([StatementFailed(code, detail)])
                 case _:
-                    failed = StatementFailed(FailureCode.MALFORMED, "out of order")
-                    self._finish([failed])
+                    failed = StatementFailed(
+                        FailureCode.MALFORMED, "message out of order"
+                    )
+                    self._write_and_close([failed])
 
-    def _open(self, message: OpenSession) -> None:
+    def _open_session(self, message: OpenSession) -> None:
         admission = self._front.admission
         try:
             admission.look_up(message.database, message.principal)
@@ -152,7 +163,7 @@
                 code=error.code.value,
                 detail=error.detail,
             )
-            self._finish([StatementFailed(error.code, error.detail)])
+            self._write_and_close([StatementFailed(error.code, error.detail)])
             return
         self.session = CallerSession(
             admission, self._front.router, message.database, message.principal
@@ -162,10 +173,10 @@
     async def _run(self, session: CallerSession, request: StatementRequest) -> None:
         try:
             answers = await session.handle(request)
-        except SessionOver as over:
+        except SessionTerminated as terminated:
             self._is_busy = False
             session.abandon("session over")
-            self._finish(over.answers)
+            self._write_and_close(terminated.answers)
             return
         self._is_busy = False
         if not self._is_open:
@@ -173,9 +184,9 @@
             return
         self._write(answers)
         self._front.after_answer(self)
-        self._pump()
+        self._process_queue()
 
-    def _on_bug(self, failure: Failure, request: StatementRequest) -> None:
+    def _on_internal_error(self, failure: Failure, request: StatementRequest) -> None:
         self._is_busy = False
         log_decision(
             "statement_failed_internally",
@@ -184,20 +195,22 @@
         )
         if self.session is not None:
             self.session.abandon("internal error")
-        self._finish([StatementFailed(FailureCode.OUTCOME_UNKNOWN, "internal error")])
+        self._write_and_close(
+            [StatementFailed(FailureCode.OUTCOME_UNKNOWN, "internal error")]
+        )
 
     def _write(self, answers: list[Answer]) -> None:
         if self._is_open:
             self.transport.write(self._codec.encode(answers))
 
-    def _finish(self, answers: list[Answer]) -> None:
+    def _write_and_close(self, answers: list[Answer]) -> None:
         self._write(answers)
         self._is_open = False
         self.transport.loseConnection()
 
 
 class SessionFront(CallerFront):
-    """Listens for callers."""
+    """Frontend that accepts callers' connections."""
 
     name = "session_front"
 
@@ -223,7 +236,7 @@
         self._expiry: LoopingCall | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening, and checking for timeouts."""
         host, port = split_address(self._settings.front_address)
         factory = Factory.forProtocol(lambda: CallerConnection(self))
         self._port = self._reactor.listenTCP(
@@ -235,7 +248,7 @@
         self._expiry.start(EXPIRE_INTERVAL_S, now=False)
 
     async def stop(self) -> None:
-        """Close what is left."""
+        """Close the remaining connections."""
         if self._expiry is not None and self._expiry.running:
             self._expiry.stop()
         for connection in list(self._connections):
@@ -243,50 +256,51 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers should be sent here."""
+        """Whether the load balancer should send new callers to this VM."""
         return not self.is_draining and self._fleet.configuration is not None
 
     @property
     def open_work(self) -> int:
-        """Sessions with a statement that runs or a transaction that is open."""
+        """Number of connections with a running statement or an open transaction."""
         return sum(not connection.is_idle for connection in self._connections)
 
     def add(self, connection: CallerConnection) -> bool:
-        """Count a caller, False if there are too many."""
+        """Register a connection and return whether it is within ``max_sessions``."""
         self._connections.add(connection)
         self.kernel.find(SessionMetrics).sessions.set(len(self._connections))
         return len(self._connections) <= self._settings.max_sessions
 
     def remove(self, connection: CallerConnection) -> None:
-        """Forget a caller."""
+        """Unregister a connection."""
         self._connections.discard(connection)
         self.kernel.find(SessionMetrics).sessions.set(len(self._connections))
 
     def after_answer(self, connection: CallerConnection) -> None:
-        """Close a session right after an answer once the VM is being left."""
+        """Close a connection that is idle if the drain closes idle ones already."""
         if now_s() >= self._closing_from:
             connection.close_idle()
 
     async def drain(self) -> None:
-        """Send callers elsewhere without cutting a statement.
+        """Close all sessions without interrupting a statement.
 
-        New sessions are accepted until the balancer has noticed; then idle sessions
-        are closed in a trickle, others after their next answer. Transactions have half
-        of the grace.
+        New sessions are accepted until the load balancer has stopped sending them. Then
+        idle sessions are closed one by one over ``CLOSE_SPREAD_S``, others as soon as
+        an answer leaves them idle. Open transactions have about half of the grace
+        period, up to 1.2 s before its end.
         """
         self.is_draining = True
         began_at = now_s()
         log_decision("drain_begun", sessions=len(self._connections))
-        await deferLater(self._reactor, BALANCER_NOTICE_S, lambda: None)
+        await deferLater(self._reactor, BALANCER_REACTION_S, lambda: None)
         self._closing_from = now_s()
-        until = self._closing_from + CLOSE_SPREAD_S
+        spread_until = self._closing_from + CLOSE_SPREAD_S
         idle = [c for c in self._connections if c.is_idle]
         step_s = CLOSE_SPREAD_S / max(1, len(idle))
         for connection in idle:
             connection.close_idle()
             await deferLater(self._reactor, step_s, lambda: None)
-        last = began_at + self._settings.grace_s - 1.2
-        while self._connections and now_s() < max(until, last):
+        close_until = began_at + self._settings.grace_s - 1.2
+        while self._connections and now_s() < max(spread_until, close_until):
             for connection in list(self._connections):
                 connection.close_idle()
             await deferLater(self._reactor, 0.05, lambda: None)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_router.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_router.py
@@ -1,8 +1,8 @@
 """Runs the statements of connected sessions on targets.
 
-Reads go to the target that is expected to answer first among those that are provably
-fresh enough; writes and plain transactions go to the primary. What may have run is
-never repeated unless it only reads.
+Reads go to the target with the lowest expected response time among those that are
+provably fresh enough; writes and read-write transactions go to the primary. Only reads
+are retried after they may have run.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 )
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
 from guavabarrow_daemon.fleet.primary_service import PrimaryService
-from guavabarrow_daemon.front.target_chooser import RETRY_ADVICE_S, TargetChooser
+from guavabarrow_daemon.front.statement_context import OpenTransaction, StatementContext
+from guavabarrow_daemon.front.target_chooser import RETRY_AFTER_S, TargetChooser
 from guavabarrow_daemon.front.target_exchange import TargetExchange
-from guavabarrow_daemon.front.work import OpenTransaction, Work
 from guavabarrow_daemon.kernel import Kernel, Service
 from guavabarrow_daemon.operations.clock import now_s
 from guavabarrow_daemon.targets.interface import TargetBroken
@@ -34,11 +34,12 @@
     from guavabarrow_core.session_values import PreparedShape
     from guavabarrow_daemon.targets.session_pool import SessionPool
 
-BUSY_PAUSE_S = 0.02
-"""Pause before a target that had no slot is asked again; half a statement."""
+OVERLOADED_PAUSE_S = 0.02
+"""Pause before a retry at a target that had no free slot: half the time of a
+statement."""
 
 MAX_READ_ATTEMPTS = 5
-"""Targets are three; lagging replicas are asked again."""
+"""Three targets, and further attempts at replicas that lagged behind."""
 
 
 class SessionRouter(Service):
@@ -57,35 +58,40 @@
     # Single statements
 
     async def run_read(
-        self, work: Work, statement: Statement, shape: PreparedShape | None
+        self,
+        context: StatementContext,
+        statement: Statement,
+        shape: PreparedShape | None,
     ) -> Reply:
-        """Run a statement that only reads, on any target that is fresh enough.
+        """Run a read-only statement on any target that is fresh enough.
 
         Raises
         ------
         SessionError
-            If no target answered it.
+            If no target could run it.
         """
         failed: set[str] = set()
         failure = SessionError(FailureCode.OVERLOADED, "No target can be used.")
         for _ in range(MAX_READ_ATTEMPTS):
-            pool, after = await self._chooser.choose_reader(work, failed)
+            pool, after = await self._chooser.choose_read_target(context, failed)
             try:
-                return await self._read_once(work, statement, shape, pool, after)
+                return await self._read_once(context, statement, shape, pool, after)
             except SessionError as error:
                 failure = error
-                work.trail.append(f"{pool.entry.target_id}:{error.code.value}")
-            if work.remaining_s <= 0:
+                context.failed_attempts.append(
+                    f"{pool.entry.target_id}:{error.code.value}"
+                )
+            if context.remaining_s <= 0:
                 break
             if failure.code is FailureCode.BEHIND:
-                self._chooser.note_behind(pool.entry.target_id)
+                self._chooser.mark_behind(pool.entry.target_id)
             else:
                 failed.add(pool.entry.target_id)
         raise failure
 
     async def _read_once(
         self,
-        work: Work,
+        context: StatementContext,
         statement: Statement,
         shape: PreparedShape | None,
         pool: SessionPool,
@@ -95,47 +101,60 @@
         pool.load.running += 1
         try:
             connection = await pool.acquire(
-                work.team, priority=work.route.priority, deadline=work.hold_until
+                context.team,
+                priority=context.route.priority,
+                deadline=context.acquire_deadline,
             )
             if at_primary and not self._primary_service.may_use(
-                work.route.service, pool.entry.target_id
+                context.route.service, pool.entry.target_id
             ):
                 pool.release(connection)
-                raise SessionError(FailureCode.BEHIND, "The primary moved.")
-            data, preparations = self._exchange.prepare(work, connection, shape)
+                raise SessionError(FailureCode.BEHIND, "The primary was replaced.")
+            data, restore_count = self._exchange.restore_session(
+                context, connection, shape
+            )
             data += self._codec.encode_statement(
-                work.request_id,
+                context.request_id,
                 statement,
                 prepared_name=shape.shared_name if shape else "",
                 after=after,
             )
-            reply = await self._exchange.run(work, connection, pool, data, preparations)
+            reply = await self._exchange.run(
+                context, connection, pool, data, restore_count
+            )
         finally:
             pool.load.running -= 1
         if at_primary and not self._primary_service.may_use(
-            work.route.service, pool.entry.target_id
+            context.route.service, pool.entry.target_id
         ):
-            raise SessionError(FailureCode.BEHIND, "The primary moved meanwhile.")
+            raise SessionError(
+                FailureCode.BEHIND, "The primary was replaced during the read."
+            )
         if reply.failure is not None:
             raise SessionError(reply.failure.code, reply.failure.detail)
         return reply
 
     async def run_write(
-        self, work: Work, statement: Statement, shape: PreparedShape | None
+        self,
+        context: StatementContext,
+        statement: Statement,
+        shape: PreparedShape | None,
     ) -> Reply:
-        """Run a single write at the primary.
+        """Run a single write on the primary.
 
         Raises
         ------
         SessionError
-            If it did not run, or may have run.
+            If the write wasn't run, or its outcome is unknown.
         """
         while True:
-            pool, connection = await self._chooser.acquire_primary(work)
-            service = work.route.service
-            data, preparations = self._exchange.prepare(work, connection, shape)
+            pool, connection = await self._chooser.acquire_primary(context)
+            service = context.route.service
+            data, restore_count = self._exchange.restore_session(
+                context, connection, shape
+            )
             data += self._codec.encode_statement(
-                work.request_id,
+                context.request_id,
                 statement,
                 prepared_name=shape.shared_name if shape else "",
             )
@@ -143,7 +162,7 @@
             pool.load.running += 1
             try:
                 reply = await self._exchange.run(
-                    work, connection, pool, data, preparations, is_write=True
+                    context, connection, pool, data, restore_count, is_write=True
                 )
                 is_valid = self._primary_service.may_use(service, pool.entry.target_id)
             finally:
@@ -153,25 +172,29 @@
             if failure is None and not is_valid:
                 raise SessionError(
                     FailureCode.OUTCOME_UNKNOWN,
-                    "The primary was replaced while the write ran.",
+                    "The primary was replaced during the write.",
                 )
             if failure is None:
                 return reply
-            work.trail.append(f"{pool.entry.target_id}:{failure.code.value}")
-            if failure.code is FailureCode.OVERLOADED and work.remaining_s > 0.1:
-                await deferLater(self._reactor, BUSY_PAUSE_S, lambda: None)
+            context.failed_attempts.append(
+                f"{pool.entry.target_id}:{failure.code.value}"
+            )
+            if failure.code is FailureCode.OVERLOADED and context.remaining_s > 0.1:
+                await deferLater(self._reactor, OVERLOADED_PAUSE_S, lambda: None)
                 continue
             raise SessionError(failure.code, failure.detail)
 
     # Transactions
 
-    async def begin(self, work: Work, *, is_read_only: bool) -> OpenTransaction:
-        """Open a transaction on a target and keep its connection.
+    async def begin(
+        self, context: StatementContext, *, is_read_only: bool
+    ) -> OpenTransaction:
+        """Open a transaction on a target and reserve its connection.
 
         Raises
         ------
         SessionError
-            If none could be opened; nothing has run.
+            If none could be opened; nothing was run.
         """
         kind = StatementKind.BEGIN_READ_ONLY if is_read_only else StatementKind.BEGIN
         statement = Statement(kind, "BEGIN READ" if is_read_only else "BEGIN")
@@ -180,28 +203,32 @@
         for _ in range(MAX_READ_ATTEMPTS):
             after = None
             if is_read_only:
-                pool, after = await self._chooser.choose_reader(work, failed)
+                pool, after = await self._chooser.choose_read_target(context, failed)
                 connection = await pool.acquire(
-                    work.team, priority=work.route.priority, deadline=work.hold_until
+                    context.team,
+                    priority=context.route.priority,
+                    deadline=context.acquire_deadline,
                 )
             else:
-                pool, connection = await self._chooser.acquire_primary(work)
+                pool, connection = await self._chooser.acquire_primary(context)
             target_id = pool.entry.target_id
-            service = work.route.service
+            service = context.route.service
             if after is None and not self._primary_service.may_use(service, target_id):
                 pool.release(connection)
                 continue
-            data, preparations = self._exchange.prepare(work, connection, None)
+            data, restore_count = self._exchange.restore_session(
+                context, connection, None
+            )
             data += self._codec.encode_statement("", statement, after=after)
             try:
                 reply = await self._exchange.run(
-                    work,
+                    context,
                     connection,
                     pool,
                     data,
-                    preparations,
-                    keeps=True,
-                    preparations_only=True,
+                    restore_count,
+                    keep_connection=True,
+                    setup_only=True,
                 )
             except SessionError as error:
                 failure = error
@@ -215,14 +242,14 @@
                     self._primary_service.begin_work(service)
                 return transaction
             if connection.is_open:
-                self._exchange.give_back(connection, pool)
+                self._exchange.release_connection(connection, pool)
             code = reply.failure.code if reply.failure else FailureCode.FAILED
-            work.trail.append(f"{target_id}:{code.value}")
-            failure = SessionError(FailureCode.OVERLOADED, f"No transaction: {code}.")
+            context.failed_attempts.append(f"{target_id}:{code.value}")
+            failure = SessionError(FailureCode.OVERLOADED, f"BEGIN failed: {code}.")
             if code is FailureCode.BEHIND:
-                self._chooser.note_behind(target_id)
-            elif code is FailureCode.OVERLOADED and work.remaining_s > 0.1:
-                await deferLater(self._reactor, BUSY_PAUSE_S, lambda: None)
+                self._chooser.mark_behind(target_id)
+            elif code is FailureCode.OVERLOADED and context.remaining_s > 0.1:
+                await deferLater(self._reactor, OVERLOADED_PAUSE_S, lambda: None)
             else:
                 failed.add(target_id)
                 if not is_read_only:
@@ -231,7 +258,7 @@
 
     async def run_in_transaction(
         self,
-        work: Work,
+        context: StatementContext,
         transaction: OpenTransaction,
         statement: Statement,
         shape: PreparedShape | None,
@@ -241,35 +268,36 @@
         Raises
         ------
         SessionError
-            If the transaction is over; it is rolled back.
+            If the transaction can't go on and is rolled back, or if the outcome of
+            COMMIT is unknown.
         """
         connection = transaction.connection
         is_commit = statement.kind is StatementKind.COMMIT
         target_id = transaction.pool.entry.target_id
         if not connection.is_open or (
-            transaction.at_primary and not self._lead_allows(transaction, statement)
+            transaction.at_primary and not self._may_run(transaction, statement)
         ):
             self.end(transaction)
             raise SessionError(
                 FailureCode.ABORTED,
-                "The connection of the transaction is gone; it is rolled back.",
-                retry_after_s=RETRY_ADVICE_S,
+                "The transaction lost its connection or primary and is rolled back.",
+                retry_after_s=RETRY_AFTER_S,
             )
-        data, preparations = self._exchange.prepare(work, connection, shape)
+        data, restore_count = self._exchange.restore_session(context, connection, shape)
         data += self._codec.encode_statement(
-            work.request_id,
+            context.request_id,
             statement,
             prepared_name=shape.shared_name if shape else "",
         )
         try:
             reply = await self._exchange.run(
-                work,
+                context,
                 connection,
                 transaction.pool,
                 data,
-                preparations,
+                restore_count,
                 is_write=is_commit,
-                keeps=True,
+                keep_connection=True,
             )
         except SessionError as error:
             self.end(transaction)
@@ -278,33 +306,34 @@
             raise SessionError(
                 FailureCode.ABORTED,
                 f"Rolled back: {error.detail}",
-                retry_after_s=RETRY_ADVICE_S,
+                retry_after_s=RETRY_AFTER_S,
             ) from error
-        still_leads = not transaction.at_primary or self._primary_service.may_use(
+        is_still_primary = not transaction.at_primary or self._primary_service.may_use(
             transaction.service, target_id
         )
-        if reply.failure is None and not still_leads and is_commit:
+        if reply.failure is None and not is_still_primary and is_commit:
             self.end(transaction)
             raise SessionError(
                 FailureCode.OUTCOME_UNKNOWN,
-                "The primary was replaced while the commit ran.",
+                "The primary was replaced during the commit.",
             )
         if is_commit or reply.ready.state is TransactionState.IDLE:
             self.end(transaction)
         return reply
 
-    def _lead_allows(self, transaction: OpenTransaction, statement: Statement) -> bool:
+    def _may_run(self, transaction: OpenTransaction, statement: Statement) -> bool:
         target_id = transaction.pool.entry.target_id
         if self._primary_service.may_use(transaction.service, target_id):
             return True
-        # Statements of a running transaction may end it during a planned move.
-        lead = self._primary_service.draining_primary(transaction.service)
-        return lead == target_id and statement.kind is not StatementKind.COMMIT
+        # During a planned switchover, open transactions may continue on the old
+        # primary, but not commit.
+        draining_id = self._primary_service.draining_primary(transaction.service)
+        return draining_id == target_id and statement.kind is not StatementKind.COMMIT
 
     async def roll_back(self, transaction: OpenTransaction) -> None:
-        """Roll a transaction back and free its connection."""
+        """Roll back a transaction and return its connection to the pool."""
         connection = transaction.connection
-        if transaction.has_left:
+        if transaction.has_ended:
             return
         if not connection.is_open or connection.has_pending:
             connection.abort()
@@ -320,10 +349,10 @@
         self.end(transaction)
 
     def end(self, transaction: OpenTransaction) -> None:
-        """Free the connection of a transaction that is over."""
-        if transaction.has_left:
+        """End a transaction and return its connection to the pool."""
+        if transaction.has_ended:
             return
-        transaction.has_left = True
+        transaction.has_ended = True
         if transaction.at_primary:
             self._primary_service.end_work(transaction.service)
-        self._exchange.give_back(transaction.connection, transaction.pool)
+        self._exchange.release_connection(transaction.connection, transaction.pool)
--- /dev/null
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/statement_context.py
@@ -0,0 +1,92 @@
+"""State of running statements and open transactions."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from guavabarrow_daemon.operations.clock import now_s
+
+if TYPE_CHECKING:
+    from guavabarrow_core.log_position import LogPosition
+    from guavabarrow_core.session_configuration import Route
+    from guavabarrow_core.session_values import SessionValues
+    from guavabarrow_daemon.targets.session_connection import SessionConnection
+    from guavabarrow_daemon.targets.session_pool import SessionPool
+
+MAX_ACQUIRE_FRACTION = 0.4
+"""Fraction of the timeout that a statement may wait for a connection; the rest is left
+for the target, and for the caller to try another VM."""
+
+
+@dataclass(slots=True)
+class StatementContext:
+    """Context of one running statement, single or in a transaction.
+
+    Parameters
+    ----------
+    route : Route
+        Route in force when the statement or its transaction began.
+    team : str
+        Team that the statement runs for.
+    request_id : str
+        Caller's id of the statement.
+    began_at : float
+        Local time at which the statement or its transaction was received, in s.
+    deadline : float
+        Local time at which the statement times out, in s.
+    values : SessionValues
+        Session values and prepared statements to restore on the connection.
+    session_position : LogPosition or None
+        Log position of the session's last commit.
+    failed_attempts : list of str
+        Target and failure code of each failed attempt, as TARGET:CODE.
+    was_sent_to_target : bool
+        Whether the caller's statement was sent to a target.
+    """
+
+    route: Route
+    team: str
+    request_id: str
+    began_at: float
+    deadline: float
+    values: SessionValues
+    session_position: LogPosition | None = None
+    failed_attempts: list[str] = field(default_factory=list)
+    was_sent_to_target: bool = False
+
+    @property
+    def acquire_deadline(self) -> float:
+        """Local time until which the statement may wait for a connection, in s."""
+        return self.deadline - (1.0 - MAX_ACQUIRE_FRACTION) * self.route.timeout_s
+
+    @property
+    def remaining_s(self) -> float:
+        """Time until the deadline, in s."""
+        return self.deadline - now_s()
+
+
+@dataclass(slots=True)
+class OpenTransaction:
+    """A transaction that is open on a target and holds a connection.
+
+    Parameters
+    ----------
+    connection : SessionConnection
+        Connection that the transaction runs on.
+    pool : SessionPool
+        Pool that the connection is returned to.
+    service : str
+        Service of the target.
+    at_primary : bool
+        Whether the target was chosen as the primary; the transaction then ends if the
+        target is replaced as such.
+    has_ended : bool
+        Whether the connection was returned.
+    """
+
+    connection: SessionConnection
+    pool: SessionPool
+    service: str
+    at_primary: bool
+    has_ended: bool = False
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/target_exchange.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/target_exchange.py
@@ -1,4 +1,4 @@
-"""Sends statements to targets and takes account of their answers."""
+"""Sends statements to targets and updates load estimates from the replies."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 if TYPE_CHECKING:
     from guavabarrow_core.session_values import PreparedShape
-    from guavabarrow_daemon.front.work import Work
+    from guavabarrow_daemon.front.statement_context import StatementContext
     from guavabarrow_daemon.targets.session_connection import SessionConnection
     from guavabarrow_daemon.targets.session_pool import SessionPool
 
 MIN_TIMEOUT_S = 0.01
-"""A statement that is sent gets at least this long."""
+"""Minimum timeout of a statement that is sent."""
 
 
 class TargetExchange(Service):
-    """One statement and its answer on a connection."""
+    """Runs single request-reply exchanges on target connections."""
 
     name = "target_exchange"
 
@@ -37,60 +37,77 @@
         self._metrics = kernel.find(SessionMetrics)
         self._codec = kernel.find(DirectoryService).create_codec()
 
-    def prepare(
+    def restore_session(
         self,
-        work: Work,
+        context: StatementContext,
         connection: SessionConnection,
         shape: PreparedShape | None,
     ) -> tuple[bytes, int]:
-        """Return the statements that restore the session's values, and their number."""
-        plan = connection.values.plan(work.values, shape)
+        """Encode the statements that restore a session's values on a connection.
+
+        Parameters
+        ----------
+        context : StatementContext
+            Context of the statement that needs the values.
+        connection : SessionConnection
+            Connection to restore them on; the values are recorded as set on it.
+        shape : PreparedShape or None
+            Prepared statement that is about to run.
+
+        Returns
+        -------
+        tuple of bytes and int
+            The encoded statements and how many replies they bring.
+        """
+        plan = connection.values.plan(context.values, shape)
         connection.values.apply(plan)
         return self._codec.encode_restore(plan)
 
     async def run(
         self,
-        work: Work,
+        context: StatementContext,
         connection: SessionConnection,
         pool: SessionPool,
         data: bytes,
-        preparations: int,
+        restore_count: int,
         *,
         is_write: bool = False,
-        keeps: bool = False,
-        preparations_only: bool = False,
+        keep_connection: bool = False,
+        setup_only: bool = False,
     ) -> Reply:
-        """Send a statement and wait for its answer.
+        """Send a statement and wait for its reply.
 
         Parameters
         ----------
-        work : Work
-            What it is for.
+        context : StatementContext
+            Context of the statement.
         connection, pool : SessionConnection, SessionPool
-            Where it goes.
+            Connection to send on, and its pool.
         data : bytes
-            The statement, after those that prepare the connection.
-        preparations : int
-            How many come before it.
+            The encoded statement, after those that restore the session's values.
+        restore_count : int
+            Number of statements before it.
         is_write : bool
-            Whether it may have an effect once it was sent.
-        keeps : bool
-            Whether the connection stays with the caller of this method.
-        preparations_only : bool
-            Whether nothing of the caller's is sent, and no slot is needed.
+            Whether the statement may take effect even if no reply arrives.
+        keep_connection : bool
+            Whether the connection isn't returned to the pool.
+        setup_only : bool
+            Whether no statement of the caller is sent, only BEGIN, which needs no slot
+            at the target: its reply updates neither the load estimate nor, unless it
+            is OVERLOADED, the send window.
 
         Raises
         ------
         SessionError
-            If no answer came.
+            If no reply arrived.
         """
         asked_at = now_s()
         pool.begin_statement()
-        if not preparations_only:
-            work.has_reached_target = True
-        sent = connection.send(data, preparations, asked_at)
+        if not setup_only:
+            context.was_sent_to_target = True
+        sent = connection.send(data, restore_count, asked_at)
         sent.addBoth(_end_statement, pool)
-        sent.addTimeout(max(MIN_TIMEOUT_S, work.deadline - asked_at), self._reactor)
+        sent.addTimeout(max(MIN_TIMEOUT_S, context.deadline - asked_at), self._reactor)
         role = "primary" if is_write else "any"
         try:
             reply = await sent
@@ -100,36 +117,38 @@
             self._metrics.attempts.labels(
                 role, "timeout" if is_timeout else "lost"
             ).inc()
-            if not keeps:
+            if not keep_connection:
                 pool.release(connection)
             if is_write:
                 code = FailureCode.OUTCOME_UNKNOWN
             else:
                 code = FailureCode.TIMEOUT if is_timeout else FailureCode.FAILED
-            detail = "no answer in time" if is_timeout else "the connection was lost"
+            detail = "no reply in time" if is_timeout else "the connection was lost"
             raise SessionError(code, f"{pool.entry.target_id}: {detail}") from error
         now = now_s()
         result = reply.failure.code.value if reply.failure else "completed"
         self._metrics.attempts.labels(role, result).inc()
-        refusal = reply.failure.code if reply.failure else None
-        if refusal is FailureCode.OVERLOADED:
+        failure_code = reply.failure.code if reply.failure else None
+        if failure_code is FailureCode.OVERLOADED:
             pool.window.on_refused()
-        elif refusal is not FailureCode.BEHIND and not preparations_only:
+        elif failure_code is not FailureCode.BEHIND and not setup_only:
             pool.window.on_answer(now - asked_at)
             pool.load.record(now - asked_at, now)
         if reply.ready.position is not None and reply.failure is None:
             self._primary_service.observe(
-                work.route.service,
+                context.route.service,
                 pool.entry.target_id,
                 asked_at,
                 reply.ready.position,
             )
-        if not keeps:
-            self.give_back(connection, pool)
+        if not keep_connection:
+            self.release_connection(connection, pool)
         return reply
 
-    def give_back(self, connection: SessionConnection, pool: SessionPool) -> None:
-        """Return a connection to its pool; one inside a transaction is broken off."""
+    def release_connection(
+        self, connection: SessionConnection, pool: SessionPool
+    ) -> None:
+        """Return a connection to its pool, aborted if a transaction is open on it."""
         if connection.state is not TransactionState.IDLE:
             connection.abort()
         pool.release(connection)
