--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/http/__init__.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 client connection and server site over codec libraries."""
+"""HTTP/1.1 client connections and server, built on existing HTTP parsers."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/http/client_connection.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/http/client_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 client connection: one request at a time, one write a message."""
+"""HTTP/1.1 client connection: one request at a time, each sent in one write."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 
 class ConnectionBroken(GuavabarrowError):
-    """The connection was lost, refused or aborted before the answer was complete."""
+    """The connection was lost, refused or aborted before the response was complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A complete answer.
+    """A complete response.
 
     Parameters
     ----------
     status : int
         HTTP status code.
     body : bytes
-        Whole body.
+        Complete body.
     headers : dict of bytes to bytes
         Header values by lower-case name.
     """
@@ -50,8 +50,8 @@
 class HttpClientConnection(Protocol):
     """Client side of one connection.
 
-    A request that is given up on aborts the connection, so that its late answer
-    can never be taken for the answer to another request.
+    Cancelling a request aborts the connection, so that a late response can't be
+    mistaken for the response to another request.
 
     Parameters
     ----------
@@ -71,7 +71,7 @@
         self.on_progress: Callable[[], None] | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Disable Nagle's algorithm: each message is one write."""
+        """Disable Nagle's algorithm; each request is a single write."""
         self.is_open = True
         self.transport.setTcpNoDelay(True)
 
@@ -87,11 +87,11 @@
         Parameters
         ----------
         method, path : str
-            Request line.
+            Method and path of the request line.
         body : bytes
             JSON body.
         headers : dict of str to str, optional
-            Further headers.
+            Additional headers.
 
         Returns
         -------
@@ -100,25 +100,27 @@
         """
         result: Deferred[HttpResponse] = Deferred(lambda _: self.abort())
         if not self.is_open or self._pending is not None:
-            result.errback(ConnectionBroken("The connection cannot take a request."))
+            result.errback(
+                ConnectionBroken("The connection is closed or has a pending request.")
+            )
             return result
         self._pending = result
         self._chunks = []
         self._headers = {}
         self._size = 0
         self._parser = HttpResponseParser(self)
-        self.transport.write(self._render(method, path, body, headers))
+        self.transport.write(self._encode_request(method, path, body, headers))
         return result
 
     def abort(self) -> None:
-        """Close at once; a pending request fails."""
+        """Abort the connection; a pending request fails."""
         if not self.is_open:
             return
         self.is_open = False
         self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Feed the parser; bytes that nobody asked for break the connection."""
+        """Feed the parser; data without a pending request aborts the connection."""
         if self._parser is None or self._pending is None:
             self.abort()
             return
@@ -136,16 +138,20 @@
         if pending is not None and not pending.called:
             clean = reason.check(ConnectionDone) is not None
             detail = "closed" if clean else "lost"
-            pending.errback(ConnectionBroken(f"The connection was {detail}."))
+            pending.errback(
+                ConnectionBroken(
+                    f"The connection was {detail} before the response was complete."
+                )
+            )
         if self.on_lost is not None:
             self.on_lost()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback: one header."""
+        """Store a header; called by the parser."""
         self._headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """Parser callback: part of the body."""
+        """Store a part of the body; called by the parser."""
         self._size += len(body)
         if self._size > MAX_RESPONSE_BYTES:
             self.abort()
@@ -153,7 +159,7 @@
         self._chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """Parser callback: the answer is complete."""
+        """Complete the pending request; called by the parser."""
         parser, self._parser = self._parser, None
         pending, self._pending = self._pending, None
         if parser is None or pending is None:
@@ -163,7 +169,7 @@
         status = parser.get_status_code()
         pending.callback(HttpResponse(status, b"".join(self._chunks), self._headers))
 
-    def _render(
+    def _encode_request(
         self, method: str, path: str, body: bytes, headers: dict[str, str] | None
     ) -> bytes:
         head = [
@@ -179,18 +185,18 @@
 async def open_connection(
     reactor: IReactorTCP, host: str, port: int, *, timeout_s: float = CONNECT_TIMEOUT_S
 ) -> HttpClientConnection:
-    """Connect to an IP address.
+    """Open a connection.
 
     Parameters
     ----------
     reactor : IReactorTCP
         Reactor that owns the socket.
     host : str
-        IP address.
+        IPv4 address.
     port : int
         TCP port.
     timeout_s : float
-        Seconds after which the attempt fails.
+        Time after which the attempt fails, in s.
 
     Returns
     -------
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/http/connection_pool.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/http/connection_pool.py
@@ -1,4 +1,4 @@
-"""Keeps a few idle client connections to one address."""
+"""Pool of HTTP client connections to one address."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class HttpConnectionPool:
-    """Idle connections to one address.
+    """Reuses idle connections to one address.
 
     Parameters
     ----------
     host, port : str, int
-        Address.
+        Address of the server.
     reactor : object
         Reactor that owns the sockets.
     connect_timeout_s : float
         Time after which an attempt to connect fails, in s.
     max_idle : int
-        Idle connections that are kept.
+        Maximum number of idle connections to keep.
     """
 
     def __init__(
@@ -40,13 +40,13 @@
         self._max_idle = max_idle
         self._idle: list[HttpClientConnection] = []
 
-    async def take(self) -> HttpClientConnection:
-        """Return an open connection that nobody else uses.
+    async def acquire(self) -> HttpClientConnection:
+        """Return an open connection for exclusive use.
 
         Raises
         ------
         ConnectionBroken
-            If none could be opened.
+            If no connection could be opened.
         """
         while self._idle:
             connection = self._idle.pop()
@@ -57,15 +57,15 @@
             self._reactor, host, port, timeout_s=self._connect_timeout_s
         )
 
-    def give_back(self, connection: HttpClientConnection) -> None:
-        """Keep a connection whose answer is complete."""
+    def release(self, connection: HttpClientConnection) -> None:
+        """Keep a connection whose response is complete, up to the idle limit."""
         if connection.is_open and len(self._idle) < self._max_idle:
             self._idle.append(connection)
         else:
             connection.abort()
 
     def close(self) -> None:
-        """Close idle connections."""
+        """Abort all idle connections."""
         for connection in self._idle:
             connection.abort()
         self._idle.clear()
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/http/site.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/http/site.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server site over ``twisted.web`` that tells when a client disconnects."""
+"""HTTP/1.1 server on ``twisted.web`` that reports when a client disconnects."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class TrackedChannel(HTTPChannel):
-    """Server side of one connection, with callbacks for its end."""
+    """Server side of one connection; runs callbacks when it is lost."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -38,7 +38,7 @@
             set_no_delay(True)
 
     def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:  # noqa: N802
-        """Run the callbacks after the requests were told."""
+        """Notify pending requests, then run the callbacks."""
         super().connectionLost(reason)
         callbacks, self.on_lost = self.on_lost, []
         for callback in callbacks:
@@ -46,7 +46,7 @@
 
 
 class MemoryRequest(Request):
-    """Request whose body stays in memory, bounded; nothing is written to a disk.
+    """Request that keeps its body in memory, up to a limit, and never on disk.
 
     Attributes
     ----------
@@ -58,12 +58,12 @@
     is_too_large = False
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Prepare for the body."""
+        """Allocate the body buffer and check the announced length."""
         self.content = BytesIO()
         self.is_too_large = length is not None and length > self.max_body_bytes
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Keep a part of the body unless it is too large."""
+        """Buffer a part of the body unless the body is too large."""
         if self.content.tell() + len(data) > self.max_body_bytes:
             self.is_too_large = True
         if not self.is_too_large:
@@ -72,7 +72,7 @@
     def requestReceived(  # noqa: N802
         self, command: bytes, path: bytes, version: bytes
     ) -> None:
-        """Start processing without parsing forms and cookies, which are not used."""
+        """Process the request without parsing forms and cookies, which are unused."""
         self.content.seek(0)
         self.method = command
         self.uri = path
@@ -84,21 +84,21 @@
 
 
 class TrackedSite(Site):
-    """Site whose channels are :class:`TrackedChannel` and are kept in a set.
+    """Site that keeps the set of its open :class:`TrackedChannel` connections.
 
     Parameters
     ----------
     resource : Resource
-        Handles all requests.
+        Resource that handles all requests.
     max_body_bytes : int
-        Largest body that is kept.
+        Largest accepted request body, in bytes.
     """
 
     def __init__(
         self, resource: Resource, *, max_body_bytes: int = MAX_BODY_BYTES
     ) -> None:
-        bounds = {"max_body_bytes": max_body_bytes}
-        request_type = type("BoundedRequest", (MemoryRequest,), bounds)
+        attributes = {"max_body_bytes": max_body_bytes}
+        request_type = type("BoundedRequest", (MemoryRequest,), attributes)
         super().__init__(resource, timeout=IDLE_TIMEOUT_S, requestFactory=request_type)
         self.displayTracebacks = False
         self.channels: set[TrackedChannel] = set()
@@ -115,7 +115,7 @@
         return channel
 
     def log(self, request: Request) -> None:
-        """Write no access log; requests are counted instead."""
+        """Write no access log; requests are counted in metrics instead."""
 
 
 class Routes(Resource):
@@ -157,7 +157,7 @@
     body: bytes,
     content_type: bytes = b"application/json",
 ) -> None:
-    """Send the whole answer unless the client is gone.
+    """Send a complete response unless the client has disconnected.
 
     Parameters
     ----------
@@ -166,7 +166,7 @@
     status : int
         HTTP status code.
     body : bytes
-        Whole body.
+        Complete body.
     content_type : bytes
         Media type.
     """
@@ -180,7 +180,7 @@
 
 
 def answer_json(request: Request, status: int, value: object) -> None:
-    """Send a value as JSON."""
+    """Send a response whose body is the value as JSON."""
     answer(request, status, msgspec.json.encode(value))
 
 
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/__init__.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/__init__.py
@@ -1,1 +1,1 @@
-"""Interface to the platform: table service, object store and VM list."""
+"""Interfaces to the platform's table service, object store and VM list, and clients."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/exceptions.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of a platform's store."""
+"""Errors of the platform's store."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class StoreUnavailable(GuavabarrowError):
-    """The store gave no usable answer.
+    """The store is unreachable or returned no usable response.
 
     Parameters
     ----------
     detail : str
-        What happened.
+        Description of the failure.
     is_undone : bool
-        Whether it is certain that nothing was changed.
+        Whether it is certain that the call changed nothing.
     """
 
     def __init__(self, detail: str, *, is_undone: bool = False) -> None:
@@ -22,4 +22,4 @@
 
 
 class HistoryDropped(GuavabarrowError):
-    """Changes since the given version are no longer known; read everything."""
+    """The store no longer keeps the changes since a version; read the whole table."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/http_caller.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/http_caller.py
@@ -1,4 +1,4 @@
-"""Calls of a platform's store over HTTP/1.1, whatever its messages are."""
+"""Calls to a store over HTTP/1.1, independent of the message format."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
     from guavabarrow_daemon.http.client_connection import HttpResponse
 
-LONGEST_CALL_S = 10.0
-"""Limit of a call whose answer still arrives; 6 MB over 5 Mbit/s."""
+MAX_CALL_S = 10.0
+"""Total timeout of a call, for a response of 6 MB at 5 Mbit/s."""
 
-NOTHING_DONE = (429, 503)
-"""Answers of a server that turned the call away."""
+REJECTED_STATUSES = (429, 503)
+"""Status codes of calls that the server rejected without executing them."""
 
 
 class HttpStoreCaller:
-    """Makes calls on a few kept connections.
+    """Makes calls over pooled connections.
 
     Parameters
     ----------
@@ -33,16 +33,16 @@
     reactor : object
         Reactor that owns the sockets.
     connect_timeout_s : float
-        Limit of an attempt to connect, in s.
+        Time after which an attempt to connect fails, in s.
     call_timeout_s : float
-        Longest silence of the store during a call, in s. A large answer that still
-        arrives over a slow link is worth waiting for.
+        Time without received data after which a call fails, in s. Received data
+        restarts it, so that a large response can arrive over a slow link.
     max_idle : int
-        Idle connections that are kept.
+        Maximum number of idle connections to keep.
     on_call : callable
-        Called with the name and the result of each call.
+        Called with the name and the result of each call, for metrics.
     headers : dict of str to str, optional
-        Sent with each call.
+        Headers of every request.
     """
 
     def __init__(
@@ -85,45 +85,52 @@
         method, path, body : str, str, bytes
             The request.
         name : str
-            Name under which it is counted.
+            Name of the call in metrics.
         wait_s : float
-            How long the store may wait before it answers, in s.
+            Time for which the store may delay its response, in s.
 
         Raises
         ------
         StoreUnavailable
-            If there was no answer, or one that says that nothing was done.
+            If no response arrived, or the server rejected the call.
         """
         try:
-            connection = await self._connections.take()
+            connection = await self._connections.acquire()
         except ConnectionBroken as error:
             self._on_call(name, "unreachable")
             raise StoreUnavailable(str(error), is_undone=True) from error
         pending = connection.request(method, path, body, self._headers)
-        silence = self._reactor.callLater(self._call_timeout_s + wait_s, pending.cancel)
-        limit = self._reactor.callLater(LONGEST_CALL_S + wait_s, pending.cancel)
-        connection.on_progress = partial(self._extend, silence)
+        idle_timer = self._reactor.callLater(
+            self._call_timeout_s + wait_s, pending.cancel
+        )
+        call_timer = self._reactor.callLater(MAX_CALL_S + wait_s, pending.cancel)
+        connection.on_progress = partial(self._restart_idle_timer, idle_timer)
         try:
             response = await pending
         except (ConnectionBroken, CancelledError) as error:
             self._on_call(name, "unanswered")
             connection.abort()
-            raise StoreUnavailable(f"No answer: {error}", is_undone=False) from error
+            raise StoreUnavailable(
+                f"No response from the store: {error}", is_undone=False
+            ) from error
         finally:
             connection.on_progress = None
-            for timer in (silence, limit):
+            for timer in (idle_timer, call_timer):
                 if timer.active():
                     timer.cancel()
-        self._connections.give_back(connection)
+        self._connections.release(connection)
         self._on_call(name, str(response.status))
-        if response.status in NOTHING_DONE:
-            raise StoreUnavailable(f"Answer {response.status}.", is_undone=True)
+        if response.status in REJECTED_STATUSES:
+            raise StoreUnavailable(
+                f"The store rejected the call: status {response.status}.",
+                is_undone=True,
+            )
         return response
 
-    def _extend(self, silence: Any) -> None:
-        if silence.active():
-            silence.reset(self._call_timeout_s)
+    def _restart_idle_timer(self, idle_timer: Any) -> None:
+        if idle_timer.active():
+            idle_timer.reset(self._call_timeout_s)
 
     def close(self) -> None:
-        """Close idle connections."""
+        """Abort idle connections."""
         self._connections.close()
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/http_client.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/http_client.py
@@ -1,4 +1,4 @@
-"""The platform's services over HTTP/1.1 and JSON."""
+"""Client of the platform's services over HTTP/1.1 and JSON."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 STORE_TIMEOUT_S = 0.4
 MAX_IDLE_CONNECTIONS = 4
 
-Answer = TypeVar("Answer")
+ResponseT = TypeVar("ResponseT")
 
 
 class HttpPlatform(TableService, ObjectStore, VmDirectory):
-    """Client of the platform.
+    """Client of the table service, the object store and the VM list.
 
     Parameters
     ----------
     host, port : str, int
         Address of the platform.
     credential : str
-        Credential of this VM.
+        Bearer token of this VM.
     reactor : object
         Reactor that owns the sockets.
     on_operation : callable, optional
-        Called with the path of each operation, for counting.
+        Called with the first path segment of each call, for metrics.
     """
 
     def __init__(
@@ -80,7 +80,9 @@
         """Store an object."""
         response = await self._request("PUT", f"/objects/{name}", content)
         if response.status != 200:
-            raise StoreUnavailable(f"The object store answered {response.status}.")
+            raise StoreUnavailable(
+                f"The object store returned status {response.status}."
+            )
 
     async def get(self, name: str) -> bytes | None:
         """Return an object, None if it does not exist."""
@@ -88,7 +90,9 @@
         if response.status == 404:
             return None
         if response.status != 200:
-            raise StoreUnavailable(f"The object store answered {response.status}.")
+            raise StoreUnavailable(
+                f"The object store returned status {response.status}."
+            )
         return response.body
 
     async def list_vms(self) -> VmList:
@@ -96,25 +100,27 @@
         return await self._call("/vms", None, VmList, method="GET")
 
     def close(self) -> None:
-        """Close idle connections."""
+        """Abort idle connections."""
         self._caller.close()
 
     async def _call(
         self,
         path: str,
         message: object,
-        answer_type: type[Answer],
+        response_type: type[ResponseT],
         *,
         method: str = "POST",
-    ) -> Answer:
+    ) -> ResponseT:
         body = b"" if message is None else msgspec.json.encode(message)
         response = await self._request(method, path, body)
         if response.status != 200:
-            raise StoreUnavailable(f"The platform answered {response.status}.")
+            raise StoreUnavailable(f"The platform returned status {response.status}.")
         try:
-            return msgspec.json.decode(response.body, type=answer_type)
+            return msgspec.json.decode(response.body, type=response_type)
         except msgspec.MsgspecError as error:
-            raise StoreUnavailable(f"Malformed answer: {error}") from error
+            raise StoreUnavailable(
+                f"Malformed response of the platform: {error}"
+            ) from error
 
     async def _request(self, method: str, path: str, body: bytes) -> HttpResponse:
         name = path.split("/", 2)[1]
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/interface.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/interface.py
@@ -25,7 +25,7 @@
         Raises
         ------
         StoreUnavailable
-            If there was no answer.
+            If no usable response arrived.
         """
 
     @abstractmethod
@@ -35,12 +35,12 @@
         Raises
         ------
         StoreUnavailable
-            If there was no answer.
+            If no usable response arrived.
         """
 
 
 class ObjectStore(ABC):
-    """Object store."""
+    """Store of named objects."""
 
     @abstractmethod
     async def put(self, name: str, content: bytes) -> None:
@@ -52,8 +52,8 @@
 
 
 class VmDirectory(ABC):
-    """List of live and leaving VMs, which lags."""
+    """List of live and leaving VMs; may be out of date."""
 
     @abstractmethod
     async def list_vms(self) -> VmList:
-        """Return the list."""
+        """Return the current list."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/messages.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/messages.py
@@ -6,21 +6,21 @@
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """Requires that a row has this revision, 0 that it does not exist."""
+    """Requires that a row has this revision; 0 requires that it does not exist."""
 
     key: str
     revision: int
 
 
 class Put(msgspec.Struct, frozen=True):
-    """Writes a row."""
+    """Creates or replaces a row."""
 
     key: str
     value: str
 
 
 class Transact(msgspec.Struct, frozen=True):
-    """All puts and deletes, if all conditions hold."""
+    """Applies all puts and deletes if all conditions hold, nothing otherwise."""
 
     conditions: list[Condition] = []
     puts: list[Put] = []
@@ -52,18 +52,18 @@
 
 
 class ReadAnswer(msgspec.Struct, frozen=True):
-    """Rows that exist."""
+    """The requested rows that exist."""
 
     rows: list[Row]
 
 
 class VmEntry(msgspec.Struct, frozen=True):
-    """One VM on the platform's list.
+    """A VM in the platform's list.
 
     Parameters
     ----------
     vm, domain, peer_address : str
-        Name, failure domain and address for messages between VMs.
+        Name, failure domain, and address for messages from other VMs.
     leaving : bool
         Whether the platform is about to replace it.
     """
@@ -75,6 +75,6 @@
 
 
 class VmList(msgspec.Struct, frozen=True):
-    """The platform's list, which lags behind."""
+    """The platform's list of VMs; may be out of date."""
 
     vms: list[VmEntry] = []
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/watched_table.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/watched_table.py
@@ -1,4 +1,4 @@
-"""Abstract base classes of what a platform gives to VMs with connected sessions."""
+"""Abstract base classes of the platform services that session VMs use."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TableRow:
-    """One row; ``value`` is None if it was dropped."""
+    """One row; ``value`` is None if the row was deleted."""
 
     key: str
     value: bytes | None
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TableReading:
-    """Answer about rows.
+    """Result of a read or a watch.
 
     Parameters
     ----------
     rows : list of TableRow
-        Rows in order.
+        Rows in the order in which the store returned them.
     version : int
         Newest version of the store.
     store_s : float
-        The store's steady clock, in s.
+        Time on the store's monotonic clock, in s.
     """
 
     rows: list[TableRow]
@@ -48,11 +48,11 @@
     Parameters
     ----------
     is_applied : bool
-        Whether the conditions held.
+        Whether the row had the expected version and was written.
     version : int
-        Version of the rows written, if applied.
+        New version of the row, if applied.
     store_s : float
-        The store's steady clock, in s.
+        Time on the store's monotonic clock, in s.
     """
 
     is_applied: bool
@@ -61,39 +61,39 @@
 
 
 class WatchedTable(ABC):
-    """One table of the platform's store."""
+    """A table of the platform's store whose changes can be watched."""
 
     @abstractmethod
     async def read(self) -> TableReading:
-        """Read all rows as of one moment."""
+        """Read all rows as of one point in time."""
 
     @abstractmethod
     async def watch(self, after: int, wait_s: float) -> TableReading:
-        """Wait for rows that changed after a version.
+        """Wait up to ``wait_s`` seconds for rows that changed after a version.
 
         Raises
         ------
         HistoryDropped
-            If the version is too old.
+            If the store no longer keeps the changes since that version.
         StoreUnavailable
-            If there was no answer.
+            If no usable response arrived.
         """
 
     @abstractmethod
     async def write(self, key: str, value: bytes | None, expected: int) -> Written:
-        """Write or remove a row whose version must be ``expected``, 0 for no row."""
+        """Write or delete a row if its version is ``expected``; 0 means no row."""
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorOrders:
-    """What operators want, as of one moment.
+    """Configuration and evacuations set by operators, as of one point in time.
 
     Parameters
     ----------
     configuration : SessionConfiguration or None
-        Newest configuration, None if unchanged or not written yet.
+        Newest configuration, None if it is unchanged or does not exist yet.
     evacuated : frozenset of str
-        Failure domains whose targets get nothing.
+        Failure domains whose targets receive no statements.
     """
 
     configuration: SessionConfiguration | None
@@ -101,21 +101,21 @@
 
 
 class OperatorSource(ABC):
-    """Reads what operators wrote."""
+    """Reads the configuration and the evacuations."""
 
     @abstractmethod
     async def read(self) -> tuple[OperatorOrders, TableReading]:
-        """Read everything."""
+        """Read the complete orders."""
 
     @abstractmethod
     async def watch(
         self, after: int, wait_s: float
     ) -> tuple[OperatorOrders | None, TableReading]:
-        """Wait for changes; None if there were none."""
+        """Wait for changes; the orders are None if there were none."""
 
     @abstractmethod
     def decode(self, rows: list[TableRow]) -> OperatorOrders | None:
-        """Translate changed rows and return everything as known now."""
+        """Apply changed rows and return the complete orders."""
 
 
 class DirectorySource(ABC):
@@ -123,30 +123,30 @@
 
     @abstractmethod
     async def read(self) -> tuple[list[TargetEntry], list[str]]:
-        """Return usable entries, and the reasons why others were left out."""
+        """Return the valid entries, and the reasons why others were skipped."""
 
 
 class PromotionRefused(GuavabarrowError):
-    """The target does not run or is unknown."""
+    """The target is unknown or not running."""
 
 
 class PromotionUnanswered(GuavabarrowError):
-    """The order may or may not have been carried out."""
+    """No response arrived; the promotion may or may not have been carried out."""
 
 
 class PromotionAuthority(ABC):
-    """Lets a target lead its service."""
+    """Platform service that makes a target the primary of its service."""
 
     @abstractmethod
     async def promote(
         self, service: str, target_id: str, *, holder: str, fencing_token: int
     ) -> None:
-        """Order that a target leads; returns once it does.
+        """Promote a target and return once it is the primary.
 
         Raises
         ------
         PromotionRefused
-            If the target does not run.
+            If the target is unknown or not running.
         PromotionUnanswered
-            If there was no answer.
+            If no usable response arrived.
         """
--- a/packages/guavabarrow-daemon/tests/test_http_caller.py
+++ b/packages/guavabarrow-daemon/tests/test_http_caller.py
@@ -1,4 +1,4 @@
-"""Calls of a store under virtual time, with a connection that the test answers."""
+"""Store calls in virtual time over a fake connection."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from guavabarrow_daemon.http.client_connection import HttpResponse
 from guavabarrow_daemon.store.exceptions import StoreUnavailable
-from guavabarrow_daemon.store.http_caller import LONGEST_CALL_S, HttpStoreCaller
+from guavabarrow_daemon.store.http_caller import MAX_CALL_S, HttpStoreCaller
 
-SILENCE_S = 1.0
+IDLE_TIMEOUT_S = 1.0
 
 
 class FakeConnection:
-    """One request whose answer arrives when the test says so."""
+    """Connection with one request, which the test completes."""
 
     def __init__(self) -> None:
         self.pending: Deferred[HttpResponse] = Deferred()
@@ -29,21 +29,21 @@
 
 
 class FakePool:
-    """Hands out one connection."""
+    """Pool with a single connection."""
 
     def __init__(self) -> None:
         self.connection = FakeConnection()
-        self.kept: list[FakeConnection] = []
+        self.released: list[FakeConnection] = []
 
-    async def take(self) -> FakeConnection:
+    async def acquire(self) -> FakeConnection:
         return self.connection
 
-    def give_back(self, connection: FakeConnection) -> None:
-        self.kept.append(connection)
+    def release(self, connection: FakeConnection) -> None:
+        self.released.append(connection)
 
 
 class Call:
-    """A call that has been sent."""
+    """A call that is waiting for its response."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -53,8 +53,8 @@
             "10.0.0.1",
             1,
             self.clock,
-            connect_timeout_s=SILENCE_S,
-            call_timeout_s=SILENCE_S,
+            connect_timeout_s=IDLE_TIMEOUT_S,
+            call_timeout_s=IDLE_TIMEOUT_S,
             max_idle=1,
             on_call=lambda name, result: self.results.append(result),
         )
@@ -69,33 +69,33 @@
     return Call()
 
 
-def test_a_store_that_stays_silent_is_given_up(call):
-    call.clock.advance(SILENCE_S + 0.1)
+def test_call_without_received_data_times_out(call):
+    call.clock.advance(IDLE_TIMEOUT_S + 0.1)
     assert call.outcome[0].check(StoreUnavailable)
     assert not call.outcome[0].value.is_undone
     assert call.pool.connection.is_aborted
 
 
-def test_a_large_answer_that_still_arrives_is_waited_for(call):
-    """Seen on a played day: 500 KB over a slow link needed more than the limit."""
+def test_received_data_restarts_the_idle_timeout(call):
+    """Seen in a simulated day: 500 KB over a slow link took longer than the timeout."""
     for _ in range(5):
         call.clock.advance(0.8)
         call.pool.connection.on_progress()
     call.pool.connection.pending.callback(HttpResponse(200, b"rows", {}))
     assert call.outcome[0].body == b"rows"
-    assert call.pool.kept == [call.pool.connection]
+    assert call.pool.released == [call.pool.connection]
     assert call.clock.getDelayedCalls() == []
 
 
-def test_an_answer_that_never_ends_is_given_up(call):
-    for _ in range(int(LONGEST_CALL_S / 0.8) + 2):
+def test_endless_response_hits_the_total_timeout(call):
+    for _ in range(int(MAX_CALL_S / 0.8) + 2):
         call.clock.advance(0.8)
         if not call.outcome:
             call.pool.connection.on_progress()
     assert call.outcome[0].check(StoreUnavailable)
 
 
-def test_a_server_that_turns_the_call_away_has_done_nothing(call):
+def test_rejected_call_has_no_effect(call):
     call.pool.connection.pending.callback(HttpResponse(503, b"", {}))
     assert call.outcome[0].value.is_undone
     assert call.results == ["503"]
