--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/__init__.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/__init__.py
@@ -1,1 +1,1 @@
-"""Logs and metrics."""
+"""Logs, metrics and diagnostics for operators."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/beliefs.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/beliefs.py
@@ -1,4 +1,4 @@
-"""What a VM believes now, for operators."""
+"""Local view of a VM, served to operators for diagnostics."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     from guavabarrow_daemon.kernel import Kernel
 
 
-class MemberBelief(msgspec.Struct, frozen=True):
-    """One registered VM."""
+class MemberView(msgspec.Struct, frozen=True):
+    """A registered VM, as this VM sees it."""
 
     vm: str
     domain: str
@@ -27,8 +27,8 @@
     is_in_contact: bool
 
 
-class PrimaryBelief(msgspec.Struct, frozen=True):
-    """Primary of one service; ``may_be_used`` is this VM's own right."""
+class PrimaryView(msgspec.Struct, frozen=True):
+    """Primary of a service; ``may_be_used`` is true if this VM may use it now."""
 
     service: str
     target: str
@@ -37,8 +37,8 @@
     may_be_used: bool
 
 
-class TargetBelief(msgspec.Struct, frozen=True):
-    """One registered target, with evidence against it if there is any."""
+class TargetView(msgspec.Struct, frozen=True):
+    """A registered target; ``evidence`` is recent evidence of a failure, if any."""
 
     target: str
     service: str
@@ -48,26 +48,27 @@
 
 
 class Beliefs(msgspec.Struct, frozen=True):
-    """Everything that decides where a VM's statements go.
+    """Cached state that determines how a VM routes statements.
 
     Parameters
     ----------
     vm, incarnation : str
-        The VM and its lifetime.
+        Name and process incarnation of the VM.
     table_age_s, targets_age_s : float
-        Ages of the shared table and of the list of targets as known, in s.
+        Ages of the cached shared table and of the cached target list, in s.
     is_registered : bool
-        Whether this lifetime may get rights.
+        Whether this incarnation may obtain leases.
     configuration : int
-        Version in force, 0 if none.
+        Version of the active configuration, 0 if there is none.
     evacuated : list of str
-        Failure domains whose targets get nothing.
+        Failure domains whose targets receive no statements.
     duty_holder : str
-        VM that orders promotions.
+        VM that holds the promotion duty, empty if there is none.
     holds_duty : bool
-        Whether this VM may order them now.
+        Whether this VM may order promotions now.
     pool_host : str
-        VM whose tokens are used for teams' rates, empty if this VM uses its own part.
+        VM whose token pool limits the teams' rates, empty if this VM uses its own
+        share.
     """
 
     vm: str
@@ -80,21 +81,21 @@
     duty_holder: str
     holds_duty: bool
     pool_host: str
-    members: list[MemberBelief]
-    primaries: list[PrimaryBelief]
-    targets: list[TargetBelief]
+    members: list[MemberView]
+    primaries: list[PrimaryView]
+    targets: list[TargetView]
 
 
-def read_beliefs(kernel: Kernel) -> Beliefs:
-    """Return what a VM believes now."""
+def read_local_view(kernel: Kernel) -> Beliefs:
+    """Collect the local view of a VM."""
     fleet = kernel.find(FleetService)
     primary_service = kernel.find(PrimaryService)
     directory = kernel.find(DirectoryService)
-    contacts = kernel.find(PeerLinks).live_peers()
+    live_peers = kernel.find(PeerLinks).live_peers()
     suspected = directory.suspected()
     state = fleet.state
     duty = state.duty()
-    rows = [known.row for _, known in sorted(state.row_by_key.items())]
+    rows = [cached.row for _, cached in sorted(state.row_by_key.items())]
     return Beliefs(
         vm=state.vm,
         incarnation=state.incarnation,
@@ -107,11 +108,11 @@
         holds_duty=kernel.find(DutyService).may_order_promotions(),
         pool_host=kernel.find(RateService).rates.host,
         members=[
-            MemberBelief(vm, member.domain, member.is_out, vm in contacts)
+            MemberView(vm, member.domain, member.is_out, vm in live_peers)
             for vm, member in sorted(state.member_by_vm().items())
         ],
         primaries=[
-            PrimaryBelief(
+            PrimaryView(
                 row.service,
                 row.primary_id,
                 row.term,
@@ -122,7 +123,7 @@
             if isinstance(row, PrimaryRow)
         ],
         targets=[
-            TargetBelief(
+            TargetView(
                 entry.target_id,
                 entry.service,
                 entry.domain,
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/clock.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/clock.py
@@ -1,4 +1,4 @@
-"""The clock of all rights and ages: steady, and running on while a VM is suspended."""
+"""Monotonic clock for leases and ages that includes time spent suspended."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def now_s() -> float:
-    """Return seconds since an arbitrary start, suspension included."""
+    """Return the time since an arbitrary origin, in s, including suspended time."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/decision_log.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/decision_log.py
@@ -1,8 +1,8 @@
-"""Structured log of decisions: one JSON line each, bounded, never blocking.
+"""Structured log of decisions: rate-limited JSON lines, written without blocking.
 
-Lines go to standard output. A budget of lines per second bounds the volume; what
-exceeds it is counted and the count is written with the next line. If the reader of the
-output is slow, lines are dropped rather than waited for.
+Lines go to standard output. Lines above the rate limit are dropped; their number is
+written with the next line. If the reader of the output is slow, lines are dropped
+rather than block the process.
 """
 
 from __future__ import annotations
@@ -19,22 +19,25 @@
     from loguru import Message
 
 LINES_PER_S = 60.0
-"""A VM's failures and beliefs in a bad second; a line costs about 30 us."""
+"""Covers the failures and state changes that a VM logs in a second during an incident.
+
+Writing a line takes about 30 us.
+"""
 
 BURST_LINES = 300.0
 SUCCESS_SAMPLE = 50
-"""One success in this many is written in full; all are counted."""
+"""One of this many successes is logged in full; metrics count all of them."""
 
 
-class LineBudget:
-    """Bounds the lines per second.
+class LineRateLimit:
+    """Token bucket that limits the lines per second.
 
     Examples
     --------
-    >>> budget = LineBudget(per_s=1.0, burst=1.0)
-    >>> budget.take(0.0), budget.take(0.1), budget.take(1.2)
+    >>> limit = LineRateLimit(per_s=1.0, burst=1.0)
+    >>> limit.try_acquire(0.0), limit.try_acquire(0.1), limit.try_acquire(1.2)
     (True, False, True)
-    >>> budget.dropped
+    >>> limit.dropped
     1
     """
 
@@ -42,15 +45,15 @@
         self._per_s = per_s
         self._burst = burst
         self._tokens = burst
-        self._filled_at: float | None = None
+        self._refilled_at: float | None = None
         self.dropped = 0
 
-    def take(self, now: float) -> bool:
-        """Take a line, False if the budget is spent."""
-        if self._filled_at is not None:
-            elapsed_s = max(0.0, now - self._filled_at)
+    def try_acquire(self, now: float) -> bool:
+        """Return whether a line may be written now, and count it if not."""
+        if self._refilled_at is not None:
+            elapsed_s = max(0.0, now - self._refilled_at)
             self._tokens = min(self._burst, self._tokens + elapsed_s * self._per_s)
-        self._filled_at = now
+        self._refilled_at = now
         if self._tokens < 1.0:
             self.dropped += 1
             return False
@@ -59,18 +62,18 @@
 
 
 class LineSink:
-    """Writes records to standard output without ever waiting."""
+    """Writes records to standard output without blocking."""
 
     def __init__(self, vm: str) -> None:
         self._vm = vm
-        self._budget = LineBudget()
+        self._rate_limit = LineRateLimit()
         self._fd = sys.stdout.fileno()
         os.set_blocking(self._fd, False)
 
     def write(self, message: Message) -> None:
         """Write one record as a JSON line."""
         record = message.record
-        if not self._budget.take(time.monotonic()):
+        if not self._rate_limit.try_acquire(time.monotonic()):
             return
         line = {
             "time": f"{time.time():.3f}",
@@ -79,18 +82,18 @@
             "event": record["message"],
             **record["extra"],
         }
-        if self._budget.dropped:
-            line["dropped_lines"] = self._budget.dropped
+        if self._rate_limit.dropped:
+            line["dropped_lines"] = self._rate_limit.dropped
         data = msgspec.json.encode(line, enc_hook=str) + b"\n"
         try:
             os.write(self._fd, data)
-            self._budget.dropped = 0
+            self._rate_limit.dropped = 0
         except BlockingIOError:
-            self._budget.dropped += 1
+            self._rate_limit.dropped += 1
 
 
 def configure_decision_log(vm: str) -> None:
-    """Replace all sinks by the one on standard output."""
+    """Replace all log sinks with one on standard output."""
     logger.remove()
     logger.add(LineSink(vm).write, level="INFO", format="{message}")
 
@@ -101,8 +104,8 @@
     Parameters
     ----------
     event : str
-        Stable name.
+        Stable name of the event.
     **fields : object
-        Request id, inputs, their age or version, and the outcome; never keys.
+        Request id, inputs, their age or version, and the outcome; never API keys.
     """
     logger.bind(**fields).info(event)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/readiness_site.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/readiness_site.py
@@ -1,4 +1,4 @@
-"""Answers the balancer's question for readiness, and serves metrics and beliefs."""
+"""Serves the readiness check, metrics and the local view over HTTP."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from guavabarrow_daemon.front.session_front import SessionFront
 from guavabarrow_daemon.http.site import Routes, TrackedSite, answer
 from guavabarrow_daemon.kernel import Kernel, Service
-from guavabarrow_daemon.operations.beliefs import read_beliefs
+from guavabarrow_daemon.operations.beliefs import read_local_view
 from guavabarrow_daemon.operations.session_metrics import SessionMetrics
 from guavabarrow_daemon.session_settings import SessionVmSettings, split_address
 
@@ -21,7 +21,7 @@
 
 
 class ReadinessSite(Service):
-    """HTTP for the balancer and for whoever collects metrics."""
+    """HTTP endpoints for the load balancer, the metrics collector and operators."""
 
     name = "readiness"
 
@@ -40,26 +40,26 @@
         self._ports: list[Any] = []
 
     async def start(self) -> None:
-        """Listen on both addresses."""
+        """Listen on the readiness address and the metrics port."""
         front = self.kernel.find(SessionFront)
         metrics = self.kernel.find(SessionMetrics)
 
-        async def ready(request: Request) -> None:
+        async def serve_readiness(request: Request) -> None:
             status = 200 if front.is_ready else 503
             answer(request, status, b"{}")
 
-        async def show(request: Request) -> None:
+        async def serve_metrics(request: Request) -> None:
             answer(request, 200, metrics.render(), b"text/plain; version=0.0.4")
 
-        async def show_beliefs(request: Request) -> None:
-            answer(request, 200, msgspec.json.encode(read_beliefs(self.kernel)))
+        async def serve_local_view(request: Request) -> None:
+            answer(request, 200, msgspec.json.encode(read_local_view(self.kernel)))
 
         host, port = split_address(self._settings.ready_address)
-        self._listen(host, port, {self._ready_path: ready})
+        self._listen(host, port, {self._ready_path: serve_readiness})
         self._listen(
             self._settings.host,
             self._settings.metrics_port,
-            {METRICS_PATH: show, BELIEFS_PATH: show_beliefs},
+            {METRICS_PATH: serve_metrics, BELIEFS_PATH: serve_local_view},
         )
 
     async def stop(self) -> None:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/session_metrics.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/session_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a VM with connected sessions."""
+"""Prometheus metrics of a session VM."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SessionMetrics(Service):
-    """All metrics of one VM, in a registry of its own."""
+    """Metrics of one VM, in a separate registry."""
 
     name = "session_metrics"
 
