--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/decision_log.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/decision_log.py
@@ -106,6 +106,6 @@
     event : str
         Stable name of the event.
     **fields : object
-        Request id, inputs, their age or version, and the outcome; never API keys.
+        Request id, inputs, their age or version, and the outcome; never keys.
     """
     logger.bind(**fields).info(event)
