--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/drain_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/drain_service.py
@@ -21,12 +21,12 @@
     from guavabarrow_core.fleet import Fleet
     from guavabarrow_daemon.settings import Settings
 
-CHECK_S = 0.05
+POLL_INTERVAL_S = 0.05
 RETRY_AFTER_S = 1.0
 
 
 class Readiness(Enum):
-    """Whether this VM takes work."""
+    """Readiness for new requests; in NOTICE they are still accepted."""
 
     STARTING = "starting"
     READY = "ready"
@@ -35,7 +35,7 @@
 
 
 class DrainService(Service):
-    """Decides whether requests are taken, and ends the process gracefully.
+    """Accepts or refuses new requests and drains the VM.
 
     Parameters
     ----------
@@ -59,13 +59,13 @@
         self._ledger = kernel.find(LedgerService)
         self._metrics = kernel.find(Metrics)
         self._in_progress = 0
-        self._is_stopping = False
+        self._is_draining = False
         self.readiness = Readiness.STARTING
 
     async def start(self) -> None:
-        """Follow the configuration."""
-        self._configuration.on_change.append(self._apply)
-        self._apply(self._configuration.fleet)
+        """Subscribe to configuration changes."""
+        self._configuration.on_change.append(self._apply_configuration)
+        self._apply_configuration(self._configuration.fleet)
 
     @property
     def is_ready(self) -> bool:
@@ -73,12 +73,12 @@
         return self.readiness is Readiness.READY
 
     def check_new_work(self) -> None:
-        """Refuse new work if this VM takes none.
+        """Raise if this VM does not accept new requests.
 
         Raises
         ------
         NoConfiguration
-            While there is no configuration yet.
+            Until the first configuration is received.
         Draining
             After the notice period of a drain.
         """
@@ -94,31 +94,31 @@
             )
 
     def begin_request(self) -> None:
-        """Count a request in progress."""
+        """Increment the number of requests in progress."""
         self._in_progress += 1
         self._metrics.in_progress.set(self._in_progress)
 
     def end_request(self) -> None:
-        """Count the end of a request."""
+        """Decrement the number of requests in progress."""
         self._in_progress -= 1
         self._metrics.in_progress.set(self._in_progress)
 
     @property
     def in_progress(self) -> int:
-        """Requests in progress."""
+        """Number of requests in progress."""
         return self._in_progress
 
     async def drain(self) -> None:
-        """Take no new work and wait until running work has ended."""
-        if self._is_stopping:
+        """Refuse new requests and wait until those in progress have ended."""
+        if self._is_draining:
             return
-        self._is_stopping = True
+        self._is_draining = True
         self._membership.announce(leaving=True)
-        await self._notice()
+        await self._wait_notice_period()
         limit_s = self._settings.drain.limit_ms / 1000
-        give_up_at = self._reactor.seconds() + limit_s
+        wait_until = self._reactor.seconds() + limit_s
         while self._in_progress or len(self._transactions):
-            if self._reactor.seconds() >= give_up_at:
+            if self._reactor.seconds() >= wait_until:
                 log_state(
                     self._settings.vm,
                     "drain_cut_short",
@@ -126,28 +126,28 @@
                     transactions=len(self._transactions),
                 )
                 break
-            await deferLater(self._reactor, CHECK_S)
+            await deferLater(self._reactor, POLL_INTERVAL_S)
         await self._ledger.release_lease()
         log_state(self._settings.vm, "drained")
 
-    def _apply(self, fleet: Fleet) -> None:
-        if self._is_stopping or not fleet.version:
+    def _apply_configuration(self, fleet: Fleet) -> None:
+        if self._is_draining or not fleet.version:
             return
         if fleet.is_out(self._settings.domain):
             if self.readiness in (Readiness.READY, Readiness.STARTING):
                 self._membership.announce(leaving=True)
-                Deferred.fromCoroutine(self._notice())
+                Deferred.fromCoroutine(self._wait_notice_period())
             return
         if self.readiness is not Readiness.READY:
             self._membership.announce(leaving=False)
-            self._set(Readiness.READY)
+            self._set_readiness(Readiness.READY)
 
-    async def _notice(self) -> None:
-        self._set(Readiness.NOTICE)
+    async def _wait_notice_period(self) -> None:
+        self._set_readiness(Readiness.NOTICE)
         await deferLater(self._reactor, self._settings.drain.notice_ms / 1000)
         if self.readiness is Readiness.NOTICE:
-            self._set(Readiness.REFUSING)
+            self._set_readiness(Readiness.REFUSING)
 
-    def _set(self, readiness: Readiness) -> None:
+    def _set_readiness(self, readiness: Readiness) -> None:
         self.readiness = readiness
         log_state(self._settings.vm, "readiness_changed", readiness=readiness.value)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/entry_vm.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/entry_vm.py
@@ -1,4 +1,4 @@
-"""Assembles the services of one entry VM."""
+"""Creates and runs the services of one entry VM."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     reactor : object
         Reactor that owns all sockets and timers.
     on_drain : callable, optional
-        Called when an operator asks for a graceful shutdown.
+        Called when an operator requests a graceful shutdown.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         )
 
     async def drain(self) -> None:
-        """Take no new work and wait until running work has ended."""
+        """Refuse new requests and wait until those in progress have ended."""
         await self.kernel.find(CallerApi).drain()
 
     async def stop(self) -> None:
@@ -107,7 +107,7 @@
 
 
 def create_platform(settings: Settings, reactor: Any, metrics: Metrics) -> HttpPlatform:
-    """Return the client of the platform that the settings name."""
+    """Create the client of the configured platform service."""
     address = settings.dial_address(settings.platform.host, settings.platform.port)
     return HttpPlatform(
         *address,
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/kernel.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/kernel.py
@@ -1,4 +1,4 @@
-"""Micro-kernel: starts and stops services, which find each other by name."""
+"""Service registry: starts and stops services and delivers messages to them."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class UnknownService(GuavabarrowError):
-    """No service of this name and type is registered."""
+    """No service of the requested name and type is registered."""
 
 
 class Service:
-    """A part of the daemon that owns its sockets and state; its hooks do nothing.
+    """Base class of services, which own sockets and state; hooks default to no-ops.
 
     Attributes
     ----------
     name : str
-        Name by which others find it.
+        Name under which the service is registered.
     """
 
     name = ""
@@ -31,29 +31,29 @@
         """Open sockets and start tasks."""
 
     async def stop(self) -> None:
-        """End tasks and close sockets."""
+        """Stop tasks and close sockets."""
 
     def receive(self, reply_to: str, message: object) -> None:
-        """Take a message that a peer's service of the same name sent.
+        """Handle a message that the same service of another VM sent.
 
         Parameters
         ----------
         reply_to : str
-            Address of the VM that sent it.
+            Address of the sending VM.
         message : object
-            Typed message.
+            Decoded message.
         """
 
 
 class Kernel:
-    """Registry of services in order of their start."""
+    """Registry of services in the order in which they start."""
 
     def __init__(self) -> None:
-        self._by_name: dict[str, Service] = {}
+        self._service_by_name: dict[str, Service] = {}
 
     def register(self, service: Service) -> None:
         """Add a service under its name."""
-        self._by_name[service.name] = service
+        self._service_by_name[service.name] = service
 
     def find(self, service_type: type[ServiceType]) -> ServiceType:
         """Return the service registered under the type's name.
@@ -61,25 +61,25 @@
         Raises
         ------
         UnknownService
-            If there is none.
+            If no service of this name and type is registered.
         """
-        service = self._by_name.get(service_type.name)
+        service = self._service_by_name.get(service_type.name)
         if not isinstance(service, service_type):
             raise UnknownService(f"No service {service_type.name!r} is registered.")
         return service
 
-    def post(self, name: str, reply_to: str, message: object) -> None:
-        """Deliver a message to the named service; unknown names are dropped."""
-        service = self._by_name.get(name)
+    def deliver(self, name: str, reply_to: str, message: object) -> None:
+        """Deliver a message to a service; drop it if the name is not registered."""
+        service = self._service_by_name.get(name)
         if service is not None:
             service.receive(reply_to, message)
 
     async def start(self) -> None:
         """Start all services in the order of registration."""
-        for service in self._by_name.values():
+        for service in self._service_by_name.values():
             await service.start()
 
     async def stop(self) -> None:
         """Stop all services in reverse order."""
-        for service in reversed(list(self._by_name.values())):
+        for service in reversed(list(self._service_by_name.values())):
             await service.stop()
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/lease_runner.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/lease_runner.py
@@ -1,4 +1,4 @@
-"""Contends for the ledger lease of this VM's failure domain."""
+"""Acquires and renews the ledger lease of this VM's failure domain."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
     from guavabarrow_daemon.settings import Settings
     from guavabarrow_daemon.store.interface import TableService
 
-HOLDER_SILENT_S = 1.6
-STANDBYS = 2
+HOLDER_TIMEOUT_S = 1.6
+CANDIDATE_COUNT = 2
 
 
 class LeaseRunner:
-    """Feeds the lease with time, heartbeats and answers of the store.
+    """Runs the lease state machine on timer ticks, heartbeats and store results.
 
     Parameters
     ----------
     settings : Settings
         Own name and domain.
     table : TableService
-        Holds the row.
+        Stores the lease row.
     membership : MembershipService
-        Tells which VMs are alive and claim the lease.
+        Provides the live VMs and their claims to the lease.
     reactor : object
         Clock.
     on_step : callable
-        Called after each step, when the role may have changed.
+        Called after each step, as the role may have changed.
     """
 
     def __init__(
@@ -60,16 +60,16 @@
         self._on_step = on_step
         self._store = LeaseStore(table, f"ledger/{settings.domain}")
         self._lease = Lease(settings.vm)
-        self._is_leaving = False
+        self._is_releasing = False
 
     @property
     def is_holder(self) -> bool:
-        """Whether this VM may act as the holder now."""
+        """Whether this VM holds the lease now."""
         return self._lease.holds(self._reactor.seconds())
 
     @property
     def is_initial_holder(self) -> bool:
-        """Whether nobody has held the lease before, so nothing can be granted."""
+        """Whether no VM held the lease before, so that no grants are outstanding."""
         return self._lease.is_initial_holder
 
     @property
@@ -78,15 +78,15 @@
         return self._lease.epoch
 
     def tick(self) -> None:
-        """Let time pass."""
+        """Step the lease and perform its actions on the store."""
         now = self._reactor.seconds()
         for action in self._lease.step(self._create_tick(), now):
             Deferred.fromCoroutine(self._perform(action))
         self._on_step()
 
     async def release(self) -> None:
-        """Give the lease back and take it no more."""
-        self._is_leaving = True
+        """Release the lease and stop contending for it."""
+        self._is_releasing = True
         for action in self._lease.release(self._reactor.seconds()):
             await self._perform(action)
 
@@ -102,23 +102,25 @@
         rival_claim = None
         if claim is not None and claim.vm != self._settings.vm:
             rival_claim = Claim(claim.ledger_epoch, claim.vm)
-        is_silent = table.since_heartbeat_s(self._lease.row.holder) > HOLDER_SILENT_S
+        has_timed_out = (
+            table.since_heartbeat_s(self._lease.row.holder) > HOLDER_TIMEOUT_S
+        )
         return LeaseTick(
-            is_candidate=rank < STANDBYS and not self._is_leaving,
+            is_candidate=rank < CANDIDATE_COUNT and not self._is_releasing,
             is_preferred=rank == 0,
-            holder_unreachable=claim is None and is_silent,
+            holder_unreachable=claim is None and has_timed_out,
             max_heartbeat_epoch=max(epochs, default=0),
             rival_claim=rival_claim,
         )
 
     async def _perform(self, action: LeaseAction) -> None:
-        asked_at = self._reactor.seconds()
+        sent_at = self._reactor.seconds()
         try:
             if isinstance(action, WriteRow):
                 row, written = await self._store.write(action.row)
             else:
                 row, written = await self._store.read(), False
-            event: RowRead | StoreFailed = RowRead(row, asked_at, written)
+            event: RowRead | StoreFailed = RowRead(row, sent_at, written)
         except StoreUnavailable:
             event = StoreFailed()
         self._lease.step(event, self._reactor.seconds())
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/lease_store.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/lease_store.py
@@ -1,4 +1,4 @@
-"""Row of a lease in the platform's table service."""
+"""Stores a lease as a row of the platform's table service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StoredLease(msgspec.Struct, frozen=True):
-    """Value of the row."""
+    """Value of a lease row, encoded as JSON."""
 
     holder: str
     epoch: int
@@ -37,7 +37,7 @@
         self._key = key
 
     async def read(self) -> LeaseRow:
-        """Return the row, an empty one if it does not exist."""
+        """Return the row, or an empty row if it does not exist."""
         answer = await self._table.read(Read(keys=[self._key]))
         if not answer.rows:
             return LeaseRow()
@@ -51,7 +51,7 @@
         Returns
         -------
         tuple of LeaseRow and bool
-            The row as it is now, and whether this call wrote it.
+            Current row, and whether this call wrote it.
         """
         value = StoredLease(row.holder, row.epoch, row.renewal)
         put = Put(self._key, msgspec.json.encode(value).decode())
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/ledger_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/ledger_service.py
@@ -1,4 +1,4 @@
-"""Admits requests within a team's rate and burst over the whole fleet."""
+"""Enforces each team's rate and burst over the whole fleet."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 TICK_S = 0.1
 LOAN_TIMEOUT_S = 0.05
-LOAN_RETRY_S = 0.1
-MAX_WAITING = 2000
+LOAN_RETRY_DELAY_S = 0.1
+MAX_WAITERS = 2000
 OPEN_LIMITS = TeamLimits(rate_per_s=200.0, burst=200.0, weight=1.0, read_max_age_s=None)
 
 
 @dataclass(slots=True)
 class LoanRound:
-    """An ask that the holder could not meet from its own bucket."""
+    """Token request for which the holder borrows from other domains' ledgers."""
 
     reply_to: str
     ask: AskTokens
@@ -51,7 +51,7 @@
 
 
 class LedgerService(Service):
-    """Spends tokens of this VM and, as the holder, keeps the domain's buckets.
+    """Spends this VM's tokens and, as the holder, manages the domain's buckets.
 
     Parameters
     ----------
@@ -60,7 +60,7 @@
     settings : Settings
         Own name and domain.
     table : TableService
-        Holds the lease of the ledger.
+        Stores the lease of the ledger.
     reactor : object
         Clock.
     """
@@ -78,62 +78,62 @@
         self._configuration = kernel.find(ConfigurationService)
         self._metrics = kernel.find(Metrics)
         self._lease = LeaseRunner(
-            settings, table, self._membership, reactor, self._notice_role
+            settings, table, self._membership, reactor, self._handle_role_change
         )
         self._admission_by_team: dict[str, TeamAdmission] = {}
         self._bucket_by_team: dict[str, DomainBucket] = {}
         self._loan_rounds: dict[int, LoanRound] = {}
-        self._no_loan_until: dict[str, float] = {}
+        self._next_loan_at: dict[str, float] = {}
         self._was_holder = False
         self._held_epoch = 0
-        self._opens_at = 0.0
+        self._grants_from = 0.0
         self._ask_id = 0
         self._loop = LoopingCall(self._tick)
         self._loop.clock = reactor
 
     @property
     def is_holder(self) -> bool:
-        """Whether this VM keeps its domain's ledger now."""
+        """Whether this VM holds its domain's ledger now."""
         return self._lease.is_holder
 
     @property
     def is_initial_holder(self) -> bool:
-        """Whether nobody has held the lease before, so nothing can be granted."""
+        """Whether no VM held the lease before, so that no grants are outstanding."""
         return self._lease.is_initial_holder
 
     async def start(self) -> None:
-        """Start to contend for the lease."""
-        self._configuration.on_change.append(self._apply)
+        """Start contending for the lease."""
+        self._configuration.on_change.append(self._apply_configuration)
         self._loop.start(TICK_S)
 
     async def stop(self) -> None:
-        """Give the lease back, so that the successor need not wait."""
+        """Release the lease, so that the successor does not wait for its expiry."""
         if self._loop.running:
             self._loop.stop()
         await self.release_lease()
 
     async def release_lease(self) -> None:
-        """Release the lease and take it no more."""
+        """Release the lease and stop contending for it."""
         await self._lease.release()
 
     async def admit(self, team: str, *, cost: float, deadline: float) -> None:
-        """Take tokens for a request, asking the ledger before refusing.
+        """Spend tokens for a request; ask the ledger for more before refusing it.
 
         Parameters
         ----------
         team : str
-            Team that is charged.
+            Team whose tokens are spent.
         cost : float
-            Tokens.
+            Tokens to spend.
         deadline : float
-            Monotonic time after which waiting is useless.
+            Monotonic time after which the request no longer waits, in s.
 
         Raises
         ------
         RateExceeded
             If the team is above its rate and burst.
         Overloaded
-            If no ledger could be asked.
+            If too many requests wait or no ledger answered in time.
         """
         now = self._reactor.seconds()
         if self._settings.policies.rates == "static":
@@ -142,15 +142,15 @@
         admission = self._admission_by_team.setdefault(team, TeamAdmission())
         if not admission.waiters and admission.cache.spend(cost, now):
             return
-        if len(admission.waiters) >= MAX_WAITING:
+        if len(admission.waiters) >= MAX_WAITERS:
             raise Overloaded("Too many requests wait for tokens.", retry_after_s=0.5)
         waiter = Waiter(cost, deadline, Deferred())
         admission.waiters.append(waiter)
-        self._ask(team, admission)
+        self._request_tokens(team, admission)
         await waiter.turn
 
     def _admit_static(self, team: str, cost: float, now: float) -> None:
-        """Admit within an equal share for each live VM, as a baseline."""
+        """Admit within an equal share per live VM; a baseline for measurements."""
         fleet = self._configuration.fleet
         limits = OPEN_LIMITS if team == OPEN_TEAM else fleet.limits_of(team)
         share = 1.0 / len(self._membership.table.alive())
@@ -168,20 +168,20 @@
         bucket.level -= cost
 
     def receive(self, reply_to: str, message: object) -> None:
-        """Handle asks as the holder and answers as a borrower."""
+        """Handle requests as the holder and answers as a requester."""
         match message:
             case AskTokens():
-                self._on_ask(reply_to, message)
+                self._handle_token_request(reply_to, message)
             case GrantTokens():
-                self._on_grant(message)
+                self._handle_grant(message)
             case AskLoan():
-                self._on_ask_loan(reply_to, message)
+                self._handle_loan_request(reply_to, message)
             case GiveLoan():
-                self._on_loan(message)
+                self._handle_loan(message)
 
-    def _ask(self, team: str, admission: TeamAdmission) -> None:
+    def _request_tokens(self, team: str, admission: TeamAdmission) -> None:
         now = self._reactor.seconds()
-        holder = self._find_ledger(team)
+        holder = self._find_holder(team)
         if holder is None or admission.is_asking(holder.vm, now):
             return
         wanted = admission.cache.wanted(admission.waiting_cost, now)
@@ -194,20 +194,20 @@
             admission.ask_id, team, wanted, admission.cache.tokens, returned
         )
         if holder.vm == self._settings.vm:
-            self._on_ask("", message)
+            self._handle_token_request("", message)
         else:
             self._peers.send(holder.peer_address, message)
 
-    def _find_ledger(self, team: str) -> Heartbeat | None:
-        """Return the holder to ask: of the own domain, else of another one."""
+    def _find_holder(self, team: str) -> Heartbeat | None:
+        """Return the ledger holder of this domain, or else of another domain."""
         own = self._membership.ledger_holder(self._settings.domain)
         if own is not None:
             return own
-        others = {beat.vm: beat for beat in self._lenders()}
+        others = {beat.vm: beat for beat in self._other_holders()}
         names = rank_members(f"{team}/{self._settings.vm}", others)
         return others[names[0]] if names else None
 
-    def _on_grant(self, grant: GrantTokens) -> None:
+    def _handle_grant(self, grant: GrantTokens) -> None:
         admission = self._admission_by_team.get(grant.team)
         if (
             admission is None
@@ -227,15 +227,15 @@
             refused = admission.refuse_waiters(grant.retry_after_s)
             self._metrics.tokens.labels("refused").inc(refused)
         elif admission.waiters:
-            self._ask(grant.team, admission)
+            self._request_tokens(grant.team, admission)
 
-    def _on_ask(self, reply_to: str, ask: AskTokens) -> None:
+    def _handle_token_request(self, reply_to: str, ask: AskTokens) -> None:
         now = self._reactor.seconds()
-        is_open = self.is_holder and now >= self._opens_at
-        if not is_open or not self._has_team(ask.team):
+        can_grant = self.is_holder and now >= self._grants_from
+        if not can_grant or not self._is_configured_team(ask.team):
             if reply_to:
-                no_holder = GrantTokens(ask.ask_id, ask.team, 0.0, 0.0, 0.0, False)
-                self._peers.send(reply_to, no_holder)
+                not_holder = GrantTokens(ask.ask_id, ask.team, 0.0, 0.0, 0.0, False)
+                self._peers.send(reply_to, not_holder)
             return
         bucket = self._bucket(ask.team)
         bucket.refill(now)
@@ -259,12 +259,12 @@
         if reply_to:
             self._peers.send(reply_to, message)
         else:
-            self._on_grant(message)
+            self._handle_grant(message)
 
     def _borrow(self, reply_to: str, ask: AskTokens, missing: float) -> bool:
         now = self._reactor.seconds()
-        lenders = self._lenders()
-        if not lenders or now < self._no_loan_until.get(ask.team, 0.0):
+        lenders = self._other_holders()
+        if not lenders or now < self._next_loan_at.get(ask.team, 0.0):
             return False
         self._ask_id += 1
         round_id = self._ask_id
@@ -275,26 +275,26 @@
         if not sent:
             return False
         self._loan_rounds[round_id] = LoanRound(reply_to, ask, sent)
-        self._reactor.callLater(LOAN_TIMEOUT_S, self._end_round, round_id)
+        self._reactor.callLater(LOAN_TIMEOUT_S, self._end_loan_round, round_id)
         return True
 
-    def _lenders(self) -> list[Heartbeat]:
+    def _other_holders(self) -> list[Heartbeat]:
         domains = {beat.domain for beat in self._membership.table.alive()} - {
             self._settings.domain
         }
         holders = [self._membership.ledger_holder(domain) for domain in sorted(domains)]
         return [holder for holder in holders if holder is not None]
 
-    def _on_ask_loan(self, reply_to: str, ask: AskLoan) -> None:
+    def _handle_loan_request(self, reply_to: str, ask: AskLoan) -> None:
         tokens = 0.0
-        if self.is_holder and self._has_team(ask.team):
+        if self.is_holder and self._is_configured_team(ask.team):
             now = self._reactor.seconds()
             tokens = self._bucket(ask.team).lend(ask.wanted, now)
         self._metrics.tokens.labels("lent").inc(tokens)
         self._peers.send(reply_to, GiveLoan(ask.ask_id, ask.team, tokens))
 
-    def _on_loan(self, loan: GiveLoan) -> None:
-        if not self.is_holder or not self._has_team(loan.team):
+    def _handle_loan(self, loan: GiveLoan) -> None:
+        if not self.is_holder or not self._is_configured_team(loan.team):
             return
         now = self._reactor.seconds()
         self._bucket(loan.team).receive(loan.tokens, now)
@@ -304,18 +304,18 @@
         loan_round.received += loan.tokens
         loan_round.pending -= 1
         if loan_round.pending == 0:
-            self._end_round(loan.ask_id)
+            self._end_loan_round(loan.ask_id)
 
-    def _end_round(self, round_id: int) -> None:
+    def _end_loan_round(self, round_id: int) -> None:
         loan_round = self._loan_rounds.pop(round_id, None)
         if loan_round is None or not self.is_holder:
             return
         if loan_round.received <= 0:
-            retry_at = self._reactor.seconds() + LOAN_RETRY_S
-            self._no_loan_until[loan_round.ask.team] = retry_at
+            retry_at = self._reactor.seconds() + LOAN_RETRY_DELAY_S
+            self._next_loan_at[loan_round.ask.team] = retry_at
         self._grant(loan_round.reply_to, loan_round.ask)
 
-    def _has_team(self, team: str) -> bool:
+    def _is_configured_team(self, team: str) -> bool:
         return team == OPEN_TEAM or team in self._configuration.fleet.teams
 
     def _bucket(self, team: str) -> DomainBucket:
@@ -324,7 +324,7 @@
             limits = self._domain_limits(team)
             level = limits.burst if self.is_initial_holder else 0.0
             bucket = DomainBucket(
-                limits.rate_per_s, limits.burst, self._opens_at, level
+                limits.rate_per_s, limits.burst, self._grants_from, level
             )
             self._bucket_by_team[team] = bucket
         return bucket
@@ -340,10 +340,10 @@
             limits.read_max_age_s,
         )
 
-    def _apply(self, fleet: Fleet) -> None:
+    def _apply_configuration(self, fleet: Fleet) -> None:
         now = self._reactor.seconds()
         for team in list(self._bucket_by_team):
-            if not self._has_team(team):
+            if not self._is_configured_team(team):
                 del self._bucket_by_team[team]
                 continue
             limits = self._domain_limits(team)
@@ -357,9 +357,9 @@
         for team, admission in list(self._admission_by_team.items()):
             admission.serve_waiters(now)
             if admission.waiters:
-                self._ask(team, admission)
+                self._request_tokens(team, admission)
 
-    def _notice_role(self) -> None:
+    def _handle_role_change(self) -> None:
         is_holder = self.is_holder
         changed = is_holder != self._was_holder or (
             is_holder and self._lease.epoch != self._held_epoch
@@ -368,9 +368,9 @@
             return
         self._was_holder = is_holder
         self._held_epoch = self._lease.epoch
-        self._opens_at = self._reactor.seconds()
+        self._grants_from = self._reactor.seconds()
         if not self.is_initial_holder:
-            self._opens_at += GRANT_TTL_S
+            self._grants_from += GRANT_TTL_S
         self._bucket_by_team.clear()
         self._loan_rounds.clear()
         self._membership.announce(
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/main.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/main.py
@@ -1,4 +1,4 @@
-"""Binary ``guavabarrowd``."""
+"""Command line of the daemon ``guavabarrowd``."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         config : str
             Settings file, JSON with comments.
         """
-        settings = _load(config)
+        settings = _load_settings(config)
         configure_log(settings.log)
         run_until_signal(settings, default_reactor)
 
@@ -40,17 +40,17 @@
         config : str
             Settings file, JSON with comments.
         """
-        settings = _load(config)
+        settings = _load_settings(config)
         sys.stdout.write(f"{config}: valid; VM {settings.vm} in {settings.domain}\n")
 
 
 def run_until_signal(settings: Settings, reactor: Any) -> None:
-    """Run an entry VM; the first signal drains it, a second one ends it at once."""
-    signals_seen: list[int] = []
+    """Run an entry VM; the first signal drains it, a second stops it at once."""
+    received_signals: list[int] = []
 
     def on_signal(number: int = 0, frame: object = None) -> None:
-        signals_seen.append(number)
-        if len(signals_seen) > 1:
+        received_signals.append(number)
+        if len(received_signals) > 1:
             reactor.callFromThread(reactor.stop)
             return
         reactor.callFromThread(lambda: Deferred.fromCoroutine(shut_down()))
@@ -61,7 +61,7 @@
         reactor.stop()
 
     vm = EntryVm(settings, reactor, on_drain=on_signal)
-    reactor.callWhenRunning(lambda: _start(vm, reactor))
+    reactor.callWhenRunning(lambda: _start_vm(vm, reactor))
     signal.signal(signal.SIGTERM, on_signal)
     signal.signal(signal.SIGINT, on_signal)
     reactor.run(installSignalHandlers=False)
@@ -72,17 +72,17 @@
     fire.Fire(Commands(), name="guavabarrowd")
 
 
-def _start(vm: EntryVm, reactor: Any) -> None:
+def _start_vm(vm: EntryVm, reactor: Any) -> None:
     started = Deferred.fromCoroutine(vm.start())
 
-    def fail(failure: Any) -> None:
+    def on_start_failure(failure: Any) -> None:
         sys.stderr.write(f"Cannot start: {failure.getErrorMessage()}\n")
         reactor.stop()
 
-    started.addErrback(fail)
+    started.addErrback(on_start_failure)
 
 
-def _load(path: str) -> Settings:
+def _load_settings(path: str) -> Settings:
     try:
         return Settings.from_file(path)
     except SettingsError as error:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/membership_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/membership_service.py
@@ -1,4 +1,4 @@
-"""Spreads heartbeats and knows which VMs are alive."""
+"""Gossips heartbeats between VMs and tracks which VMs are alive."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class MembershipService(Service):
-    """Owner of the membership table.
+    """Maintains the membership table.
 
     Parameters
     ----------
@@ -36,11 +36,11 @@
     settings : Settings
         Own name and addresses.
     directory : VmDirectory
-        The platform's list, a hint about whom to greet.
+        The platform's VM list, used only to contact VMs missing from the table.
     reactor : object
         Clock.
     incarnation : int
-        Start of this process.
+        Identifies this run of the process; higher for each later start.
     """
 
     name = "membership"
@@ -60,31 +60,31 @@
         self._reactor = reactor
         self._peers = kernel.find(Peers)
         self._incarnation = incarnation
-        self._loop = LoopingCall(self._beat)
+        self._loop = LoopingCall(self._gossip)
         self._loop.clock = reactor
-        self._list_loop = LoopingCall(self._read_list)
-        self._list_loop.clock = reactor
+        self._vm_list_loop = LoopingCall(self._read_vm_list)
+        self._vm_list_loop.clock = reactor
         self._changes: dict[str, object] = {}
-        self._known_alive: set[str] = set()
+        self._last_alive: set[str] = set()
         self.on_change: list[Callable[[], None]] = []
         self.on_heartbeats: list[Callable[[], None]] = []
         self.admin_address = str(settings.admin)
         self.table: Membership = self._create_table()
 
     async def start(self) -> None:
-        """Start to gossip."""
+        """Start gossiping."""
         self.table = self._create_table()
         self._loop.start(HEARTBEAT_S)
-        self._list_loop.start(VM_LIST_INTERVAL_S)
+        self._vm_list_loop.start(VM_LIST_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Stop to gossip."""
-        for loop in (self._loop, self._list_loop):
+        """Stop gossiping."""
+        for loop in (self._loop, self._vm_list_loop):
             if loop.running:
                 loop.stop()
 
     def receive(self, reply_to: str, message: object) -> None:
-        """Take signs of life over and answer pulls."""
+        """Merge received heartbeats and answer pulls."""
         match message:
             case Gossip(digests):
                 needed = self.table.merge_digests(digests)
@@ -100,24 +100,24 @@
                     callback()
 
     def announce(self, **changes: object) -> None:
-        """Change fields of the own heartbeat from the next beat on."""
+        """Change fields of this VM's heartbeat from the next round on."""
         self._changes.update(changes)
 
     def announce_now(self, count: int) -> None:
-        """Tell some members at once what has changed at this VM."""
+        """Push this VM's changed heartbeat to ``count`` members at once."""
         self.table.advance(self._reactor.seconds(), **self._changes)
         self._changes.clear()
         message = PushHeartbeats([self.table.local_heartbeat])
         for partner in self.table.partners(count):
             self._peers.send(partner.peer_address, message)
 
-    def rank(self, duty: str, domain: str | None = None) -> int:
-        """Return the rank of this VM for a duty among the live VMs."""
+    def rank(self, role: str, domain: str | None = None) -> int:
+        """Return this VM's rank for a role among the live VMs, 0 for the first."""
         alive = [beat.vm for beat in self.table.alive(domain) if not beat.leaving]
-        return rank_of(duty, self._settings.vm, alive)
+        return rank_of(role, self._settings.vm, alive)
 
     def ledger_holder(self, domain: str) -> Heartbeat | None:
-        """Return the live VM of ``domain`` that claims the newest ledger lease."""
+        """Return the heartbeat in ``domain`` that claims the latest ledger epoch."""
         claims = [beat for beat in self.table.alive(domain) if beat.ledger_holder]
         return max(claims, key=lambda beat: beat.ledger_epoch, default=None)
 
@@ -133,7 +133,7 @@
         seed = self._incarnation & 0xFFFFFFFF
         return Membership(local_heartbeat, seed=seed, now=self._reactor.seconds())
 
-    def _beat(self) -> None:
+    def _gossip(self) -> None:
         digest = self.table.advance(self._reactor.seconds(), **self._changes)
         self._changes.clear()
         message = Gossip(digest)
@@ -143,29 +143,29 @@
         addresses.discard(self._peers.address)
         for address in addresses:
             self._peers.send(address, message)
-        self._notice_changes()
+        self._report_changes()
 
-    def _notice_changes(self) -> None:
+    def _report_changes(self) -> None:
         alive = {beat.vm for beat in self.table.alive()}
-        if alive == self._known_alive:
+        if alive == self._last_alive:
             return
-        for vm in sorted(alive - self._known_alive):
+        for vm in sorted(alive - self._last_alive):
             log_state(self._settings.vm, "member_alive", member=vm)
-        for vm in sorted(self._known_alive - alive):
+        for vm in sorted(self._last_alive - alive):
             state = self.table.state_of(vm)
             if state is not MemberState.ALIVE:
                 log_state(self._settings.vm, "member_lost", member=vm)
-        self._known_alive = alive
+        self._last_alive = alive
         for callback in self.on_change:
             callback()
 
-    def _read_list(self) -> Deferred[None] | None:
+    def _read_vm_list(self) -> Deferred[None] | None:
         is_joined = len(self.table.alive()) > 1
         if is_joined and self.rank("vm-list", self._settings.domain) >= VM_LIST_READERS:
             return None
-        return Deferred.fromCoroutine(self._greet_listed())
+        return Deferred.fromCoroutine(self._contact_listed_vms())
 
-    async def _greet_listed(self) -> None:
+    async def _contact_listed_vms(self) -> None:
         try:
             listed = await self._directory.list_vms()
         except StoreUnavailable:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/metrics.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges of one VM, exposed in the Prometheus text format."""
+"""Prometheus metrics of one entry VM."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Metrics(Service):
-    """All metrics of one VM, in a registry of its own."""
+    """Metrics of one entry VM in a separate registry."""
 
     name = "metrics"
 
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/peer_messages.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between VMs. Each names the service that receives it."""
+"""Messages between VMs, and the service that receives each type."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 class Gossip(msgspec.Struct, tag=True, frozen=True):
-    """Signs of life that the sender knows."""
+    """Digests of the heartbeats in the sender's membership table."""
 
     digests: list[HeartbeatDigest]
 
 
 class PullHeartbeats(msgspec.Struct, tag=True, frozen=True):
-    """Ask for the whole heartbeats of these VMs."""
+    """Request for the complete heartbeats of these VMs."""
 
     vms: list[str]
 
 
 class PushHeartbeats(msgspec.Struct, tag=True, frozen=True):
-    """Whole heartbeats."""
+    """Complete heartbeats."""
 
     heartbeats: list[Heartbeat]
 
 
 class PullConfiguration(msgspec.Struct, tag=True, frozen=True):
-    """Ask for what follows ``version``."""
+    """Request for the revisions after ``version``."""
 
     version: int
 
@@ -41,16 +41,16 @@
 
 
 class AskTokens(msgspec.Struct, tag=True, frozen=True):
-    """Ask the ledger holder for tokens.
+    """Request to the ledger holder for tokens.
 
     Parameters
     ----------
     ask_id : int
-        Matches the answer to the ask.
+        Matches the answer to the request.
     team : str
         Team whose requests wait.
     wanted, held, returned : float
-        Tokens asked for, those still held, and those that expired unspent.
+        Tokens requested, those still held, and those that expired unspent.
     """
 
     ask_id: int
@@ -61,7 +61,7 @@
 
 
 class GrantTokens(msgspec.Struct, tag=True, frozen=True):
-    """Answer to :class:`AskTokens`; ``ttl_s`` counts from the ask."""
+    """Answer to :class:`AskTokens`; ``ttl_s`` counts from the request."""
 
     ask_id: int
     team: str
@@ -72,7 +72,7 @@
 
 
 class AskLoan(msgspec.Struct, tag=True, frozen=True):
-    """Ask another domain's ledger for tokens that it does not need."""
+    """Request to another domain's ledger for tokens that it can spare."""
 
     ask_id: int
     team: str
@@ -80,7 +80,7 @@
 
 
 class GiveLoan(msgspec.Struct, tag=True, frozen=True):
-    """Answer to :class:`AskLoan`; the tokens left the sender's bucket."""
+    """Answer to :class:`AskLoan`; the sender has debited the tokens."""
 
     ask_id: int
     team: str
@@ -88,7 +88,7 @@
 
 
 class AskPermits(msgspec.Struct, tag=True, frozen=True):
-    """Ask for connection permits of a target, and renew those held."""
+    """Request for connection permits of a target; renews those held."""
 
     ask_id: int
     target: str
@@ -97,14 +97,14 @@
 
 
 class GrantPermits(msgspec.Struct, tag=True, frozen=True):
-    """Answer to :class:`AskPermits`; ``total`` permits are held from now on.
+    """Answer to :class:`AskPermits` that replaces the permits held.
 
     Parameters
     ----------
     total : int
-        Permits that the asker may use.
+        Permits that the requester may use from now on.
     recall : int
-        Idle permits that others wait for.
+        Permits to return if idle, because other VMs wait for them.
     """
 
     ask_id: int
@@ -144,14 +144,14 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message with its sender.
+    """Envelope of a message: its sender and sequence number.
 
     Parameters
     ----------
     sender, reply_to : str
-        VM and its address for messages.
+        Sending VM and the address where it receives messages.
     incarnation, sequence : int
-        Increase with every message, so that copies are recognised.
+        Increase with every message, so that repeated messages are dropped.
     message : PeerMessage
         Content.
     """
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/peers.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/peers.py
@@ -1,7 +1,7 @@
-"""Messages between VMs over ``pynng`` push and pull sockets.
+"""Sends messages between VMs over ``pynng`` push and pull sockets.
 
 Delivery is at most once: a message to a peer that cannot be reached is dropped and
-counted. Each datagram carries a keyed hash and a sequence number.
+counted. Each message carries a keyed hash and a sequence number.
 """
 
 from __future__ import annotations
@@ -34,30 +34,30 @@
 RECONNECT_MIN_MS = 50
 RECONNECT_MAX_MS = 500
 MAX_MESSAGES_PER_WAKEUP = 256
-MAX_OPEN_PEERS = 512
+MAX_OPEN_SOCKETS = 512
 
 
 @implementer(IReadDescriptor)
 class SocketReader:
-    """Lets the reactor watch the receive descriptor of a ``pynng`` socket."""
+    """Adapts the receive descriptor of a ``pynng`` socket for the reactor."""
 
     def __init__(self, socket: Any, on_readable: Any) -> None:
         self._descriptor = socket.recv_fd
         self._on_readable = on_readable
 
     def fileno(self) -> int:
-        """Return the descriptor, which belongs to the socket."""
+        """Return the descriptor, which the socket owns."""
         return self._descriptor
 
     def doRead(self) -> None:  # noqa: N802
-        """Tell the owner that messages have arrived."""
+        """Call ``on_readable`` because messages have arrived."""
         self._on_readable()
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
         """Do nothing: the owner closes the socket."""
 
     def logPrefix(self) -> str:  # noqa: N802
-        """Return the name for logs."""
+        """Return the prefix of log lines."""
         return "peers"
 
 
@@ -67,13 +67,13 @@
     Parameters
     ----------
     kernel : Kernel
-        Registry through which messages reach the services.
+        Delivers received messages to the services.
     settings : Settings
         Own name and address, and the peer secret.
     reactor : object
         Reactor that watches the socket.
     incarnation : int
-        Start of this process.
+        Identifies this run of the process; higher for each later start.
     """
 
     name = "peers"
@@ -90,14 +90,14 @@
         self._decoder = msgspec.msgpack.Decoder(Envelope)
         self._encoder = msgspec.msgpack.Encoder()
         self._sequence = 0
-        self._last_by_sender: dict[str, tuple[int, int]] = {}
+        self._last_sequence_by_sender: dict[str, tuple[int, int]] = {}
         self._socket_by_address: dict[str, Any] = {}
         self._listener: Any = None
         self._reader: SocketReader | None = None
         self.address = str(settings.peers)
 
     async def start(self) -> None:
-        """Listen for messages."""
+        """Open the listening socket."""
         self._listener = pynng.Pull0(recv_buffer_size=RECEIVE_BUFFER_MESSAGES)
         self._listener.listen(f"tcp://{self._settings.peers}")
         if self._settings.peers.port == 0:
@@ -123,22 +123,22 @@
         address : str
             Announced ``ip:port``.
         message : PeerMessage
-            Content.
+            Message to send.
 
         Returns
         -------
         bool
-            False if it was dropped at once; True promises nothing.
+            False if it was dropped at once; True does not imply delivery.
         """
         self._sequence += 1
         envelope = Envelope(
             self._settings.vm, self.address, self._incarnation, self._sequence, message
         )
         body = self._encoder.encode(envelope)
-        data = self._mac(body) + body
+        data = self._compute_mac(body) + body
         kind = type(message).__name__
         try:
-            self._socket(address).send(data, block=False)
+            self._get_socket(address).send(data, block=False)
         except pynng.NNGException:
             self._metrics.peer_messages.labels("dropped", kind).inc()
             return False
@@ -146,25 +146,25 @@
         self._metrics.peer_bytes.labels("sent").inc(len(data))
         return True
 
-    def _socket(self, address: str) -> Any:
+    def _get_socket(self, address: str) -> Any:
         socket = self._socket_by_address.pop(address, None)
         if socket is None:
-            socket = self._dial(address)
+            socket = self._open_socket(address)
         self._socket_by_address[address] = socket
-        if len(self._socket_by_address) > MAX_OPEN_PEERS:
+        if len(self._socket_by_address) > MAX_OPEN_SOCKETS:
             oldest = next(iter(self._socket_by_address))
             self._socket_by_address.pop(oldest).close()
         return socket
 
-    def _dial(self, address: str) -> Any:
+    def _open_socket(self, address: str) -> Any:
         host, _, port = address.rpartition(":")
-        dial_host, dial_port = self._settings.dial_address(host, int(port))
+        connect_host, connect_port = self._settings.dial_address(host, int(port))
         socket = pynng.Push0(
             send_buffer_size=SEND_BUFFER_MESSAGES,
             reconnect_time_min=RECONNECT_MIN_MS,
             reconnect_time_max=RECONNECT_MAX_MS,
         )
-        socket.dial(f"tcp://{dial_host}:{dial_port}", block=False)
+        socket.dial(f"tcp://{connect_host}:{connect_port}", block=False)
         return socket
 
     def _receive_all(self) -> None:
@@ -173,11 +173,11 @@
                 data = self._listener.recv(block=False)
             except pynng.NNGException:
                 return
-            self._receive(data)
+            self._receive_message(data)
 
-    def _receive(self, data: bytes) -> None:
+    def _receive_message(self, data: bytes) -> None:
         body = data[MAC_BYTES:]
-        if not hmac.compare_digest(data[:MAC_BYTES], self._mac(body)):
+        if not hmac.compare_digest(data[:MAC_BYTES], self._compute_mac(body)):
             self._metrics.peer_messages.labels("forged", "unknown").inc()
             return
         try:
@@ -185,15 +185,17 @@
         except msgspec.MsgspecError:
             self._metrics.peer_messages.labels("malformed", "unknown").inc()
             return
-        order = (envelope.incarnation, envelope.sequence)
-        if order <= self._last_by_sender.get(envelope.sender, (0, 0)):
+        number = (envelope.incarnation, envelope.sequence)
+        if number <= self._last_sequence_by_sender.get(envelope.sender, (0, 0)):
             self._metrics.peer_messages.labels("repeated", "unknown").inc()
             return
-        self._last_by_sender[envelope.sender] = order
+        self._last_sequence_by_sender[envelope.sender] = number
         kind = type(envelope.message)
         self._metrics.peer_messages.labels("received", kind.__name__).inc()
         self._metrics.peer_bytes.labels("received").inc(len(data))
-        self.kernel.post(SERVICE_BY_MESSAGE[kind], envelope.reply_to, envelope.message)
+        self.kernel.deliver(
+            SERVICE_BY_MESSAGE[kind], envelope.reply_to, envelope.message
+        )
 
-    def _mac(self, body: bytes) -> bytes:
+    def _compute_mac(self, body: bytes) -> bytes:
         return blake2b(body, key=self._secret, digest_size=MAC_BYTES).digest()
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/permit_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/permit_service.py
@@ -1,4 +1,4 @@
-"""Shares each target's connections between the VMs."""
+"""Distributes each target's connection permits among the VMs."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
     from guavabarrow_core.fleet import Fleet, Target
     from guavabarrow_daemon.settings import Settings
 
-RENEW_S = 1.0
-ASK_TIMEOUT_S = 0.1
-NO_LEDGER_S = 2.0
-NO_LEDGER_PERMITS = 1
+RENEW_INTERVAL_S = 1.0
+REQUEST_TIMEOUT_S = 0.1
+LEDGER_TIMEOUT_S = 2.0
+PERMITS_WITHOUT_LEDGER = 1
 
 
 @dataclass(eq=False, slots=True)
@@ -38,11 +38,11 @@
     Parameters
     ----------
     target : Target
-        Database.
+        Target of the permits.
     usage : callable
-        Returns the connections that are open or being opened, and those wanted.
+        Returns the number of connections open or opening, and the number wanted.
     on_change : callable
-        Called when the number of permits changed.
+        Called after the number of permits has changed.
     """
 
     target: Target
@@ -56,7 +56,7 @@
 
 
 class PermitService(Service):
-    """Borrows permits for this VM's pools and keeps the permit tables of its domain.
+    """Requests permits for this VM's pools and, as the holder, grants them.
 
     Parameters
     ----------
@@ -87,73 +87,73 @@
         self._loop.clock = reactor
 
     async def start(self) -> None:
-        """Start to renew permits."""
-        self._configuration.on_change.append(self._apply)
-        self._loop.start(ASK_TIMEOUT_S)
+        """Start renewing permits."""
+        self._configuration.on_change.append(self._apply_configuration)
+        self._loop.start(REQUEST_TIMEOUT_S)
 
     async def stop(self) -> None:
-        """Give all permits back."""
+        """Return all permits."""
         if self._loop.running:
             self._loop.stop()
         for account in self._account_by_target.values():
-            self._send_ask(account, held=0, wanted=0)
+            self._send_request(account, held=0, wanted=0)
 
     def open_account(self, account: PermitAccount) -> None:
-        """Register a pool."""
+        """Register the account of a pool."""
         self._account_by_target[account.target.name] = account
 
     def close_account(self, target: str) -> None:
-        """Give the permits of a removed target back."""
+        """Return the permits of a removed target."""
         account = self._account_by_target.pop(target, None)
         if account is not None:
-            self._send_ask(account, held=0, wanted=0)
+            self._send_request(account, held=0, wanted=0)
 
     def ask(self, target: str) -> None:
-        """Ask for more permits now."""
+        """Request more permits unless a recent request is still pending."""
         account = self._account_by_target.get(target)
         if account is None:
             return
-        if self._reactor.seconds() - account.asked_at >= ASK_TIMEOUT_S:
+        if self._reactor.seconds() - account.asked_at >= REQUEST_TIMEOUT_S:
             self._renew(account)
 
     def receive(self, reply_to: str, message: object) -> None:
-        """Handle asks as the holder and grants as a borrower."""
+        """Handle requests as the holder and grants as a requester."""
         match message:
             case AskPermits():
-                self._on_ask(reply_to, message)
+                self._handle_permit_request(reply_to, message)
             case GrantPermits():
-                self._on_grant(message)
+                self._handle_grant(message)
 
     def _tick(self) -> None:
         now = self._reactor.seconds()
-        self._notice_role(now)
+        self._update_role(now)
         for account in self._account_by_target.values():
-            open_now, wanted = account.usage()
-            is_short = wanted > account.total and open_now >= account.total
-            interval_s = ASK_TIMEOUT_S if is_short else RENEW_S
-            is_idle = not (wanted or open_now or account.total)
+            open_count, wanted = account.usage()
+            needs_more = wanted > account.total and open_count >= account.total
+            interval_s = REQUEST_TIMEOUT_S if needs_more else RENEW_INTERVAL_S
+            is_idle = not (wanted or open_count or account.total)
             if not is_idle and now - account.asked_at >= interval_s:
                 self._renew(account)
-            self._allow_without_ledger(account, now)
+            self._use_fallback_permits(account, now)
 
-    def _allow_without_ledger(self, account: PermitAccount, now: float) -> None:
-        """Allow one connection where no ledger is left to ask for permits."""
+    def _use_fallback_permits(self, account: PermitAccount, now: float) -> None:
+        """Allow one connection if no ledger holder has answered in time."""
         _, wanted = account.usage()
-        is_cut_off = wanted > 0 and now - account.granted_at > NO_LEDGER_S
-        if is_cut_off and account.total < NO_LEDGER_PERMITS:
-            account.total = NO_LEDGER_PERMITS
+        has_no_ledger = wanted > 0 and now - account.granted_at > LEDGER_TIMEOUT_S
+        if has_no_ledger and account.total < PERMITS_WITHOUT_LEDGER:
+            account.total = PERMITS_WITHOUT_LEDGER
             account.on_change()
 
     def _renew(self, account: PermitAccount) -> None:
-        open_now, wanted = account.usage()
-        held = min(account.total, max(open_now, wanted))
+        open_count, wanted = account.usage()
+        held = min(account.total, max(open_count, wanted))
         if account.recall:
-            held = max(open_now, account.total - account.recall)
+            held = max(open_count, account.total - account.recall)
             held = min(held, account.total)
         account.total = held
-        self._send_ask(account, held=held, wanted=wanted)
+        self._send_request(account, held=held, wanted=wanted)
 
-    def _send_ask(self, account: PermitAccount, *, held: int, wanted: int) -> None:
+    def _send_request(self, account: PermitAccount, *, held: int, wanted: int) -> None:
         holder = self._membership.ledger_holder(account.target.domain)
         if holder is None:
             return
@@ -162,11 +162,11 @@
         account.asked_at = self._reactor.seconds()
         message = AskPermits(account.ask_id, account.target.name, wanted, held)
         if holder.vm == self._settings.vm:
-            self._on_ask("", message)
+            self._handle_permit_request("", message)
         else:
             self._peers.send(holder.peer_address, message)
 
-    def _on_grant(self, message: GrantPermits) -> None:
+    def _handle_grant(self, message: GrantPermits) -> None:
         account = self._account_by_target.get(message.target)
         if account is None or message.ask_id != account.ask_id:
             return
@@ -177,9 +177,9 @@
         account.recall = message.recall
         account.on_change()
 
-    def _on_ask(self, reply_to: str, ask: AskPermits) -> None:
+    def _handle_permit_request(self, reply_to: str, ask: AskPermits) -> None:
         now = self._reactor.seconds()
-        self._notice_role(now)
+        self._update_role(now)
         table = (
             self._permit_table(ask.target) if self._holder_since is not None else None
         )
@@ -196,9 +196,9 @@
         if reply_to:
             self._peers.send(reply_to, message)
         else:
-            self._on_grant(message)
+            self._handle_grant(message)
 
-    def _notice_role(self, now: float) -> None:
+    def _update_role(self, now: float) -> None:
         if not self._ledger.is_holder:
             self._holder_since = None
             self._table_by_target.clear()
@@ -216,7 +216,7 @@
         self._table_by_target[target] = table
         return table
 
-    def _apply(self, fleet: Fleet) -> None:
+    def _apply_configuration(self, fleet: Fleet) -> None:
         self._budget_by_target = {
             target.name: service.connections
             for service in fleet.services.values()
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/session_codec.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/session_codec.py
@@ -1,4 +1,4 @@
-"""Abstract base classes of the codecs between bytes and session messages."""
+"""Abstract base classes of codecs that convert bytes to session messages."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
     @abstractmethod
     def feed(self, data: bytes) -> list[CallerMessage]:
-        """Take bytes and return the complete messages in them."""
+        """Add received bytes and return the messages that are now complete."""
 
     @abstractmethod
     def encode(self, answers: Iterable[Answer]) -> bytes:
-        """Return the bytes of answers in order."""
+        """Encode answers in order."""
 
 
 class TargetCodec(ABC):
@@ -45,11 +45,11 @@
 
     @abstractmethod
     def feed(self, data: bytes) -> list[TargetMessage]:
-        """Take bytes and return the complete messages in them."""
+        """Add received bytes and return the messages that are now complete."""
 
     @abstractmethod
     def encode_open(self, message: OpenSession) -> bytes:
-        """Return the first message of a session."""
+        """Encode the message that opens a session."""
 
     @abstractmethod
     def encode_statement(
@@ -60,42 +60,42 @@
         prepared_name: str = "",
         after: LogPosition | None = None,
     ) -> bytes:
-        """Return a caller's statement, unchanged but for a prepared name.
+        """Encode a statement; only the name of a prepared statement may change.
 
         Parameters
         ----------
         request_id : str
-            The caller's id, empty for a statement of the proxy's own.
+            The caller's request id, empty for statements that the proxy issues.
         statement : Statement
             Statement to run.
         prepared_name : str
-            Name under which this connection knows the prepared statement.
+            Name of the prepared statement on this connection.
         after : LogPosition or None
-            Position that the target's log must hold.
+            Position that the target's log must have reached.
         """
 
     @abstractmethod
     def encode_restore(self, plan: RestorePlan) -> tuple[bytes, int]:
-        """Return the statements of a plan and how many answers they bring."""
+        """Encode the statements of a plan; also return their number of answers."""
 
     @abstractmethod
     def encode_status(self) -> bytes:
-        """Return the question for a target's status."""
+        """Encode the query for a target's status."""
 
     @abstractmethod
     def decode_status(self, rows: tuple[str, ...]) -> TargetStatus:
-        """Translate the row that answers the question.
+        """Decode the row that answers the status query.
 
         Raises
         ------
         ValueError
-            If it can't be read.
+            If the row cannot be decoded.
         """
 
     @abstractmethod
     def encode_demote(self, term: int) -> bytes:
-        """Return the order to stop leading because ``term`` begins."""
+        """Encode the command that demotes a primary because ``term`` begins."""
 
     @abstractmethod
     def encode_close(self) -> bytes:
-        """Return the end of the session."""
+        """Encode the message that closes the session."""
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/session_settings.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/session_settings.py
@@ -1,4 +1,4 @@
-"""Settings of VMs whose callers' sessions are connections."""
+"""Settings of VMs with connection-based caller sessions."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 from guavabarrow_daemon.settings import IpAddress, Port, SettingsModel
 
 
-def _check_address(value: str) -> str:
+def _check_host_port(value: str) -> str:
     host, separator, port = value.rpartition(":")
     if not separator or not host or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"an address is HOST:PORT, not {value!r}")
     return value
 
 
-HostPort = Annotated[str, AfterValidator(_check_address)]
+HostPort = Annotated[str, AfterValidator(_check_host_port)]
 
 
 class SessionVmSettings(SettingsModel):
-    """Everything that one VM is told.
+    """Settings of one VM.
 
     Parameters
     ----------
     vm, domain : str
-        Its name and failure domain.
+        Name and failure domain of this VM.
     host : str
-        IP address that other VMs reach it at.
+        IP address at which other VMs reach this VM.
     front_address, ready_address : str
-        Where callers connect, and where the balancer asks for readiness.
+        Listening addresses for callers and for the load balancer's readiness checks.
     store_address, promotion_address : str
-        The platform's store, and its service that promotes targets.
+        Addresses of the platform's store and of its promotion service.
     peer_port, metrics_port : int
         Ports for messages between VMs and for metrics.
     grace_s : float
-        Time between the signal to stop and the kill, in s.
+        Time between the stop signal and the kill, in s.
     max_sessions : int
-        Callers connected at once; the descriptors' limit less a reserve.
+        Limit of concurrent sessions: the file descriptor limit less a reserve.
     rate_window_s : float
-        Span over which a team's operations are counted, in s.
+        Length of the window in which a team's operations are counted, in s.
     rate_over : float
-        Part of a team's rate and burst that all VMs together may go beyond them.
+        Fraction by which all VMs together may exceed a team's rate and burst.
     rate_slack : float
-        Operations per window that they may go beyond them besides.
+        Operations per window by which they may exceed them in addition.
     """
 
     vm: str = Field(min_length=1)
@@ -63,7 +63,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of a checked address.
+    """Split a validated address into host and port.
 
     Examples
     --------
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/session_vm.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/session_vm.py
@@ -1,4 +1,4 @@
-"""Assembles the services of a VM whose callers' sessions are connections."""
+"""Creates and runs the services of a VM with connection-based caller sessions."""
 
 from __future__ import annotations
 
@@ -47,31 +47,31 @@
 
 
 class SteadyReactor(EPollReactor):
-    """Reactor whose timers follow the steady clock, not the time of day."""
+    """Reactor whose timers use the monotonic clock instead of the wall clock."""
 
     def seconds(self) -> float:
-        """Return the steady time, in s."""
+        """Return the monotonic time, in s."""
         return time.monotonic()
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformParts:
-    """What a platform provides to one VM.
+    """Interfaces through which one VM uses the platform.
 
     Parameters
     ----------
     fleet_table : WatchedTable
-        Table that the VMs share.
+        Table that all VMs of the fleet read and write.
     orders : OperatorSource
-        What operators wrote.
+        Reads the configuration and orders written by operators.
     directory : DirectorySource
-        Registered targets.
+        Lists the registered targets.
     authority : PromotionAuthority
         Promotes targets.
     create_front_codec, create_target_codec : callable
-        Create the codecs of callers' and targets' connections.
+        Create a codec for each caller or target connection.
     ready_path : str
-        Path of the balancer's question.
+        HTTP path of the load balancer's readiness check.
     """
 
     fleet_table: WatchedTable
@@ -93,7 +93,7 @@
     reactor : object
         Reactor that owns all sockets and timers.
     create_parts : callable
-        Creates the platform's parts; gets the metrics to count calls with.
+        Creates the platform interfaces; receives the metrics that count their calls.
     """
 
     def __init__(
@@ -154,7 +154,10 @@
         )
 
     async def drain(self) -> None:
-        """Send callers elsewhere, hand the duty over."""
+        """Hand over the promotion duty, then drain callers' sessions.
+
+        The duty stays while a promotion runs.
+        """
         if not self.kernel.find(PromotionService).is_busy:
             await self.kernel.find(DutyService).hand_over()
         await self.kernel.find(SessionFront).drain()
@@ -172,13 +175,13 @@
     *,
     reload: Callable[[], None],
 ) -> None:
-    """Run a VM until SIGTERM or SIGINT, which drain it; SIGHUP reloads settings."""
+    """Run a VM until SIGTERM or SIGINT drains it; SIGHUP reloads settings."""
     vm = SessionVm(settings, reactor, create_parts)
-    signals_seen: list[int] = []
+    received_signals: list[int] = []
 
-    def on_stop(number: int, frame: object) -> None:
-        signals_seen.append(number)
-        if len(signals_seen) == 1:
+    def on_signal(number: int, frame: object) -> None:
+        received_signals.append(number)
+        if len(received_signals) == 1:
             reactor.callFromThread(lambda: Deferred.fromCoroutine(shut_down()))
 
     async def shut_down() -> None:
@@ -188,16 +191,16 @@
         await deferLater(reactor, 0.05, lambda: None)
         reactor.stop()
 
-    def begin() -> None:
+    def start_vm() -> None:
         started = Deferred.fromCoroutine(vm.start())
-        started.addErrback(fail)
+        started.addErrback(on_start_failure)
 
-    def fail(failure: Any) -> None:
+    def on_start_failure(failure: Any) -> None:
         log_decision("start_failed", error=failure.getTraceback())
         reactor.stop()
 
-    signal.signal(signal.SIGTERM, on_stop)
-    signal.signal(signal.SIGINT, on_stop)
+    signal.signal(signal.SIGTERM, on_signal)
+    signal.signal(signal.SIGINT, on_signal)
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload))
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start_vm)
     reactor.run(installSignalHandlers=False)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/settings.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry VM: JSON with comments, validated at the border."""
+"""Settings of one entry VM, read from JSON with comments and validated."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 class SettingsError(GuavabarrowError):
-    """Settings with mistakes.
+    """The settings are invalid.
 
     Parameters
     ----------
     mistakes : list of str
-        Every mistake with its place and what to do.
+        One line for each mistake: its place, what is wrong and how to correct it.
     """
 
     def __init__(self, mistakes: list[str]) -> None:
@@ -57,7 +57,7 @@
 
 
 class SettingsModel(BaseModel):
-    """Base of all settings: unknown names are mistakes."""
+    """Base class of all settings; unknown names are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -73,7 +73,7 @@
 
 
 class PlatformSettings(SettingsModel):
-    """Address and credential of the platform's service."""
+    """Address and credential of the platform service."""
 
     host: IpAddress
     port: Port
@@ -86,11 +86,11 @@
     Parameters
     ----------
     token : SecretStr
-        Signs session tokens.
+        Key that signs session tokens.
     peer : SecretStr
-        Authenticates messages between VMs.
+        Key that authenticates messages between VMs.
     admin : SecretStr
-        Authenticates operators.
+        Secret that authenticates operators.
     target : SecretStr
         Credential that VMs present to targets.
     """
@@ -107,11 +107,11 @@
     Parameters
     ----------
     max_body_bytes : int
-        Largest accepted body.
+        Largest accepted request body.
     default_deadline_ms, max_deadline_ms : float
-        Deadline of requests that state none, and the longest accepted.
+        Deadline of requests without one, and the longest accepted deadline.
     transaction_idle_ms : float
-        Open transactions without a statement for this long are rolled back.
+        Time without a statement after which an open transaction is rolled back.
     max_requests : int
         Requests in progress above which new ones are refused.
     """
@@ -124,12 +124,12 @@
 
 
 class DrainSettings(SettingsModel):
-    """How a planned stop proceeds.
+    """Durations of a graceful shutdown.
 
     Parameters
     ----------
     notice_ms : float
-        Time for the balancer to notice that this VM is not ready.
+        Time for the load balancer to detect that this VM is not ready.
     limit_ms : float
         Longest wait for requests in progress.
     """
@@ -139,14 +139,14 @@
 
 
 class LogSettings(SettingsModel):
-    """Form and level of the log."""
+    """Format and level of the log."""
 
     format: Literal["json", "console"] = "json"
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
 
 
 class PolicySettings(SettingsModel):
-    """Policies with alternatives, for measurements against baselines."""
+    """Policies and their alternatives, which serve as baselines in measurements."""
 
     reads: Literal["adaptive", "fixed_wait", "primary_only"] = "adaptive"
     detection: Literal["corroborated", "timeout"] = "corroborated"
@@ -162,18 +162,18 @@
     vm : str
         Name of this VM, unique in the fleet.
     domain : str
-        Failure domain in which it stands.
+        Failure domain of this VM.
     callers, admin, peers : Address
         Addresses to listen on for callers, operators and other VMs.
     seed_peers : list of str
-        ``ip:port`` of some other VMs, used until the VM list is read.
+        ``ip:port`` of some other VMs, contacted while no other VM is alive.
     platform : PlatformSettings
-        The platform's service.
+        The platform service.
     address_overrides : dict of str to str
-        Dials the second ``ip:port`` wherever the first is configured or announced,
-        as behind address translation.
+        Maps a configured or announced ``ip:port`` to the one to connect to, for
+        networks with address translation.
     trace : str or None
-        File to which decisions on the data path are recorded.
+        File that records the decisions of the data path.
     """
 
     vm: Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$")]
@@ -204,7 +204,7 @@
         Raises
         ------
         SettingsError
-            Lists all mistakes at once.
+            If the file cannot be read or is invalid; lists all mistakes.
         """
         try:
             text = Path(path).read_text(encoding="utf-8")
@@ -235,7 +235,7 @@
             raise SettingsError(describe_mistakes(source, error)) from error
 
     def dial_address(self, host: str, port: int) -> tuple[str, int]:
-        """Return the address to dial for a configured or announced address."""
+        """Return the address to connect to for a configured or announced address."""
         override = self.address_overrides.get(f"{host}:{port}")
         if override is None:
             return host, port
@@ -244,19 +244,19 @@
 
 
 def describe_mistakes(source: str, error: ValidationError) -> list[str]:
-    """Return a line for each mistake: its place, what is wrong and what to do.
+    """Return a line per mistake: its place, what is wrong and how to correct it.
 
     Parameters
     ----------
     source : str
         File that was read.
     error : ValidationError
-        All mistakes that validation found.
+        Errors reported by the validation.
     """
-    return [_mistake(source, entry) for entry in error.errors()]
+    return [_format_error(source, entry) for entry in error.errors()]
 
 
-def _mistake(source: str, entry: Any) -> str:
+def _format_error(source: str, entry: Any) -> str:
     location = ".".join(str(part) for part in entry["loc"]) or "(top level)"
     if entry["type"] == "missing":
         return f"{source}: {location}: is missing; add it"
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/state_log.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/state_log.py
@@ -1,4 +1,4 @@
-"""Structured log: one line for each change of state; the rest is counted."""
+"""Structured log: one line per state change; other events only count in metrics."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def configure_log(settings: LogSettings) -> None:
-    """Replace all sinks by one on standard error.
+    """Replace all log sinks with one on standard error.
 
     Parameters
     ----------
     settings : LogSettings
-        Form and level.
+        Format and level.
     """
     logger.remove()
     if settings.format == "console":
@@ -31,16 +31,16 @@
 
 
 def log_state(vm: str, event: str, **fields: object) -> None:
-    """Log a change of state.
+    """Log a state change.
 
     Parameters
     ----------
     vm : str
         VM whose state changed.
     event : str
-        Stable name of the change.
+        Stable name of the event.
     **fields : object
-        Details; never keys or statement parameters.
+        Details, which must not include keys or statement parameters.
     """
     logger.bind(vm=vm, **fields).info(event)
 
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/trace_recorder.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/trace_recorder.py
@@ -1,4 +1,4 @@
-"""Records the decisions of group monitors to a file, for replay."""
+"""Records the decisions of group monitors in a file for replay."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 if TYPE_CHECKING:
     from guavabarrow_core.group_monitor import Action, Event
 
-FLUSH_EVERY = 20
+FLUSH_INTERVAL_LINES = 20
 
 
 class TraceRecorder:
-    """Appends lines to a trace file.
+    """Writes a trace file, one JSON line per record.
 
     Parameters
     ----------
     path : str
-        File; an older trace is replaced.
+        Trace file; an existing file is overwritten.
     """
 
     def __init__(self, path: str) -> None:
         self._file = Path(path).open("wb")  # noqa: SIM115 (closed by close)
-        self._lines = 0
+        self._line_count = 0
 
     def start(self, start: TraceStart) -> None:
-        """Record how a monitor was created."""
+        """Record the initial state of a monitor."""
         self._write(msgspec.json.encode(start) + b"\n")
 
     def step(self, group: str, now: float, event: Event, actions: list[Action]) -> None:
-        """Record an event and the actions that it caused."""
+        """Record an event and the actions that it triggered."""
         self._write(encode_step(group, now, event, actions))
 
     def close(self) -> None:
@@ -42,6 +42,6 @@
 
     def _write(self, line: bytes) -> None:
         self._file.write(line)
-        self._lines += 1
-        if self._lines % FLUSH_EVERY == 0:
+        self._line_count += 1
+        if self._line_count % FLUSH_INTERVAL_LINES == 0:
             self._file.flush()
--- a/packages/guavabarrow-daemon/tests/test_settings.py
+++ b/packages/guavabarrow-daemon/tests/test_settings.py
@@ -17,16 +17,16 @@
 
 
 def test_five_mistakes_are_listed_at_once():
-    wrong = document(
+    invalid = document(
         vm="Not A Name",
         callers={"host": "localhost", "port": 99999},
         secrets={"token": "short", "peer": "p" * 16, "admin": "a" * 16},
         colour="blue",
     )
     with pytest.raises(SettingsError) as caught:
-        Settings.from_text(json.dumps(wrong), source="vm.jsonc")
-    places = {mistake.split(": ")[1] for mistake in caught.value.mistakes}
-    assert places == {
+        Settings.from_text(json.dumps(invalid), source="vm.jsonc")
+    locations = {mistake.split(": ")[1] for mistake in caught.value.mistakes}
+    assert locations == {
         "vm",
         "callers.host",
         "callers.port",
@@ -43,7 +43,7 @@
     assert "embedded-token-secret" not in repr(settings)
 
 
-def test_missing_file_tells_what_to_do():
+def test_missing_file_error_suggests_a_correction():
     with pytest.raises(SettingsError, match="check the path"):
         Settings.from_file("/nonexistent/vm.jsonc")
 
@@ -53,7 +53,7 @@
     assert Settings.from_file(str(path)).vm == path.stem
 
 
-def test_override_replaces_a_dialled_address():
+def test_override_replaces_an_address_to_connect_to():
     overrides = {"10.0.0.1:5": "127.0.0.1:6"}
     settings = Settings.from_text(json.dumps(document(address_overrides=overrides)))
     assert settings.dial_address("10.0.0.1", 5) == ("127.0.0.1", 6)
