--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/caller_api.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/caller_api.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 and JSON interface for callers."""
+"""HTTP/1.1 and JSON API for callers."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Problem document (RFC 9457) of a refusal."""
+    """Problem document (RFC 9457) of a failed request."""
 
     type: str
     title: str
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """What is counted about one request."""
+    """Values of one request that label its metrics."""
 
     team: str = UNKNOWN_TEAM
     code: str = "ok"
@@ -76,18 +76,18 @@
 
 
 class CallerApi(CallerFront):
-    """Owner of the listening port for callers.
+    """HTTP server for callers.
 
     Parameters
     ----------
     kernel : Kernel
-        Registry.
+        Service registry.
     settings : Settings
-        Address and limits.
+        Listening address and limits.
     reactor : object
-        Reactor that owns the sockets.
+        Twisted reactor.
     wall_clock : callable
-        Returns seconds since 1970, for the age of request ids.
+        Returns the Unix time in s, to check the age of request ids.
     """
 
     name = "callers"
@@ -115,7 +115,7 @@
         self.address = str(settings.callers)
 
     async def start(self) -> None:
-        """Listen for callers."""
+        """Start listening for callers."""
         address = self._settings.callers
         self._port = self._reactor.listenTCP(
             address.port, self._site, interface=address.host, backlog=1024
@@ -123,7 +123,7 @@
         self.address = f"{address.host}:{self._port.getHost().port}"
 
     async def stop(self) -> None:
-        """Stop to listen and close idle connections."""
+        """Stop listening and close the connections."""
         if self._port is not None:
             await self._port.stopListening()
         for channel in list(self._site.channels):
@@ -131,16 +131,16 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer should send new callers here."""
+        """Whether the load balancer should send new callers here."""
         return self._drain.is_ready
 
     @property
     def open_work(self) -> int:
-        """Requests and transactions that are not over."""
+        """Number of requests and transactions in progress."""
         return self._drain.in_progress + len(self._transactions)
 
     async def drain(self) -> None:
-        """Take no new work, and wait for running work within the grace."""
+        """Reject new work and wait up to the grace period for running work."""
         await self._drain.drain()
 
     def _routes(self) -> Routes:
@@ -163,14 +163,14 @@
         record = RequestRecord()
         try:
             await self._dispatch(request, started_at, record)
-        except RequestError as refusal:
-            record.code, record.ran = refusal.code, refusal.ran
-            self._refuse(request, refusal)
+        except RequestError as request_error:
+            record.code, record.ran = request_error.code, request_error.ran
+            self._reply_error(request, request_error)
         finally:
             self._drain.end_request()
-            self._count(record, self._reactor.seconds() - started_at)
+            self._record_metrics(record, self._reactor.seconds() - started_at)
 
-    def _count(self, record: RequestRecord, elapsed_s: float) -> None:
+    def _record_metrics(self, record: RequestRecord, elapsed_s: float) -> None:
         labels = (record.team, record.code, record.ran.value)
         self._metrics.requests.labels(*labels).inc()
         self._metrics.latency.labels(record.team, record.code).observe(elapsed_s)
@@ -182,9 +182,9 @@
             request.responseHeaders.setRawHeaders(b"connection", [b"close"])
         match request.path.decode("utf-8", "replace").split("/")[1:]:
             case ["v1", "services", service, "statements"]:
-                handler, name = self._statement, service
+                handler, name = self._run_statement, service
             case ["v1", "services", service, "transactions"]:
-                handler, name = self._begin, service
+                handler, name = self._begin_transaction, service
             case ["v1", "transactions", transaction_id, action]:
                 handler, name = self._transaction_handler(action), transaction_id
             case ["v1", "open", route]:
@@ -194,16 +194,16 @@
             case _:
                 raise UnknownRoute("No such path; see docs/api.md.")
         if request.method != b"POST":
-            raise UnknownRoute("Use POST.")
-        context = self._context(request, self._read_key(request), started_at)
+            raise UnknownRoute("This path accepts only POST.")
+        context = self._create_context(request, self._read_key(request), started_at)
         record.team = context.team
         await handler(request, context, name)
 
     def _transaction_handler(self, action: str) -> Any:
         handlers = {
-            "statements": self._transaction_statement,
-            "commit": self._commit,
-            "rollback": self._rollback,
+            "statements": self._run_transaction_statement,
+            "commit": self._commit_transaction,
+            "rollback": self._roll_back_transaction,
         }
         if action not in handlers:
             raise UnknownRoute("No such path; see docs/api.md.")
@@ -212,10 +212,14 @@
     def _read_key(self, request: Request) -> str:
         scheme, _, key = (request.getHeader("authorization") or "").partition(" ")
         if scheme.lower() != "bearer" or not key:
-            raise Unauthenticated("Send the team's key: Authorization: Bearer KEY.")
+            raise Unauthenticated(
+                "The team's key is missing: send Authorization: Bearer KEY."
+            )
         return key
 
-    def _context(self, request: Request, key: str, started_at: float) -> CallerContext:
+    def _create_context(
+        self, request: Request, key: str, started_at: float
+    ) -> CallerContext:
         body = request.content.getvalue()
         if request.is_too_large:
             raise BodyTooLarge(
@@ -231,7 +235,7 @@
             limits=fleet.limits_of(owner.team),
             token=self._read_token(request, owner.team),
             arrived_at=started_at,
-            deadline=started_at + self._deadline_s(request),
+            deadline=started_at + self._read_timeout_s(request),
             request_id=request_id,
             fingerprint=blake2b(
                 request.path + b"\0" + body, digest_size=16
@@ -257,7 +261,7 @@
             raise BadToken(str(failure))
         return decoded.unwrap()
 
-    def _deadline_s(self, request: Request) -> float:
+    def _read_timeout_s(self, request: Request) -> float:
         limits = self._settings.limits
         text = request.getHeader("deadline-ms")
         if text is None:
@@ -267,7 +271,9 @@
         except ValueError:
             raise BadRequest("Deadline-Ms must be a number of milliseconds.") from None
         if not math.isfinite(deadline_ms) or deadline_ms <= 0:
-            raise DeadlineExceeded("Deadline-Ms has passed; not run.")
+            raise DeadlineExceeded(
+                "Deadline-Ms must be positive and finite; the request was not run."
+            )
         return min(deadline_ms, limits.max_deadline_ms) / 1000
 
     def _read_statement(
@@ -276,10 +282,12 @@
         try:
             body = self._body_decoder.decode(request.content.getvalue())
         except msgspec.MsgspecError as error:
-            raise BadRequest(f"The body is not a statement: {error}") from error
-        # Encoded anew, so that escapes cannot hide the key.
+            raise BadRequest(f"The body is not a valid statement: {error}") from error
+        # Re-encodes the decoded body, because JSON escapes could hide the key.
         if context.key.encode() in msgspec.json.encode((body.sql, body.params)):
-            raise KeyInStatement("The statement contains the key; remove it. Not run.")
+            raise KeyInStatement(
+                "The statement contains the key and was not run; remove the key."
+            )
         check_statement(body.sql)
         if body.max_age_ms is not None and not body.max_age_ms >= 0:
             raise BadRequest("max_age_ms must not be negative.")
@@ -290,15 +298,17 @@
             team = self._configuration.fleet.teams[context.team]
             if service not in team.services:
                 raise ServiceNotAllowed(
-                    f"Team {context.team!r} does not reach service {service!r}."
+                    f"Team {context.team!r} has no access to service {service!r}."
                 )
         if self._drain.in_progress > self._settings.limits.max_requests:
-            raise Overloaded("Too many requests at this VM.", retry_after_s=0.5)
+            raise Overloaded(
+                "Too many requests in progress at this VM.", retry_after_s=0.5
+            )
         await self._ledger.admit(context.team, cost=1.0, deadline=context.deadline)
-        if not self._keys.is_in_force(context.owner):
+        if not self._keys.is_valid(context.owner):
             raise Unauthenticated("The key was withdrawn; the request was not run.")
 
-    async def _statement(
+    async def _run_statement(
         self, request: Request, context: CallerContext, service: str
     ) -> None:
         self._drain.check_new_work()
@@ -306,7 +316,7 @@
         if not body.read and not body.idempotent and not context.request_id:
             raise RequestIdRequired(
                 "A write needs a Request-Id header (UUID version 7), so that it "
-                "cannot run twice, or idempotent: true in its body. Not run."
+                "cannot run twice, or idempotent: true in its body. It was not run."
             )
         await self._admit(context, service)
         message = Execute(
@@ -321,13 +331,13 @@
             result = await self._statements.write(context, service, message)
             self._reply(request, context, result)
             return
-        demand = self._demand(context, service, body.max_age_ms)
-        read = await self._statements.read(context, service, message, demand)
+        requirement = self._create_read_requirement(context, service, body.max_age_ms)
+        read = await self._statements.read(context, service, message, requirement)
         source = "replica" if read.is_replica else "primary"
         self._metrics.reads.labels(source).inc()
         self._reply(request, context, read.result, source=source)
 
-    def _demand(
+    def _create_read_requirement(
         self, context: CallerContext, service: str, max_age_ms: float | None
     ) -> ReadRequirement:
         max_age_s = context.limits.read_max_age_s
@@ -344,19 +354,19 @@
         self._drain.check_new_work()
         route = self._configuration.fleet.open_routes.get(name)
         if route is None or request.method != b"GET":
-            raise UnknownRoute("No such open route.")
-        deadline = started_at + self._deadline_s(request)
+            raise UnknownRoute("No open route has this path and method.")
+        deadline = started_at + self._read_timeout_s(request)
         context = CallerContext(
             OPEN_OWNER, OPEN_LIMITS, SessionToken(), started_at, deadline
         )
         await self._ledger.admit(OPEN_TEAM, cost=1.0, deadline=deadline)
-        demand = self._demand(context, route.service, None)
+        requirement = self._create_read_requirement(context, route.service, None)
         message = Execute(sql=route.sql, read=True)
-        read = await self._statements.read(context, route.service, message, demand)
+        read = await self._statements.read(context, route.service, message, requirement)
         source = "replica" if read.is_replica else "primary"
         self._reply(request, context, read.result, source=source)
 
-    async def _begin(
+    async def _begin_transaction(
         self, request: Request, context: CallerContext, service: str
     ) -> None:
         self._drain.check_new_work()
@@ -364,7 +374,7 @@
         transaction_id = await self._transactions.begin(context, service)
         answer(request, 201, msgspec.json.encode({"transaction_id": transaction_id}))
 
-    async def _transaction_statement(
+    async def _run_transaction_statement(
         self, request: Request, context: CallerContext, transaction_id: str
     ) -> None:
         body = self._read_statement(request, context)
@@ -373,13 +383,13 @@
         result = await self._transactions.execute(context, transaction_id, message)
         self._reply(request, context, result)
 
-    async def _commit(
+    async def _commit_transaction(
         self, request: Request, context: CallerContext, transaction_id: str
     ) -> None:
         result = await self._transactions.commit(context, transaction_id)
         self._reply(request, context, result)
 
-    async def _rollback(
+    async def _roll_back_transaction(
         self, request: Request, context: CallerContext, transaction_id: str
     ) -> None:
         await self._transactions.rollback(context, transaction_id)
@@ -404,19 +414,21 @@
         )
         answer(request, 200, msgspec.json.encode(body))
 
-    def _refuse(self, request: Request, refusal: RequestError) -> None:
+    def _reply_error(self, request: Request, request_error: RequestError) -> None:
         retry_after_ms = None
-        if refusal.retry_after_s is not None:
-            retry_after_ms = math.ceil(refusal.retry_after_s * 1000)
-            seconds = b"%d" % math.ceil(refusal.retry_after_s)
+        if request_error.retry_after_s is not None:
+            retry_after_ms = math.ceil(request_error.retry_after_s * 1000)
+            seconds = b"%d" % math.ceil(request_error.retry_after_s)
             request.responseHeaders.setRawHeaders(b"retry-after", [seconds])
         problem = Problem(
-            type=f"urn:guavabarrow:problem:{refusal.code}",
-            title=refusal.code.replace("_", " "),
-            status=refusal.status,
-            code=refusal.code,
-            ran=refusal.ran.value,
-            detail=refusal.detail,
+            type=f"urn:guavabarrow:problem:{request_error.code}",
+            title=request_error.code.replace("_", " "),
+            status=request_error.status,
+            code=request_error.code,
+            ran=request_error.ran.value,
+            detail=request_error.detail,
             retry_after_ms=retry_after_ms,
         )
-        answer(request, refusal.status, msgspec.json.encode(problem), PROBLEM_TYPE)
+        answer(
+            request, request_error.status, msgspec.json.encode(problem), PROBLEM_TYPE
+        )
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/caller_context.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/caller_context.py
@@ -1,4 +1,4 @@
-"""What is known about the caller of one request."""
+"""Request context of callers, and bodies of statement requests and answers."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     params : list
         Positional parameters.
     read : bool
-        Whether it only reads.
+        Whether the statement is read-only.
     max_age_ms : float or None
-        Reads: stated age.
+        Reads: maximum age of the data, in ms; None takes the team's limit.
     idempotent : bool
-        Writes: running twice is harmless, so no request id is needed.
+        Writes: the statement may run twice, so it needs no request id.
     """
 
     sql: str
@@ -38,7 +38,7 @@
 
 
 class StatementAnswer(msgspec.Struct, frozen=True):
-    """Body of an answer with a result.
+    """Body of the answer to a statement.
 
     Parameters
     ----------
@@ -47,9 +47,9 @@
     ran : str
         Always ``ran``.
     replayed : bool
-        Whether an earlier run with the same request id was returned.
+        Whether this is the stored result of an earlier run of the request id.
     source : str
-        ``primary`` or ``replica``.
+        Role of the database that ran it, ``primary`` or ``replica``.
     """
 
     columns: list[str]
@@ -62,24 +62,24 @@
 
 @dataclass(slots=True)
 class CallerContext:
-    """Caller and limits of one request.
+    """Caller, limits and session state of one request.
 
     Parameters
     ----------
     owner : KeyOwner
-        Team and key.
+        Team and key of the caller.
     limits : TeamLimits
-        Parameters of the team.
+        Limits of the team.
     token : SessionToken
-        What the session has written; advanced while the request runs.
+        Log positions that the session has written; advanced by writes.
     arrived_at, deadline : float
-        Monotonic times.
+        Monotonic times, in s.
     request_id : str
-        Canonical id, empty if the caller gave none.
+        Request id in canonical form, empty if the caller sent none.
     fingerprint : str
-        Hash of the request.
+        Hash of the path and body, to detect a reused request id.
     key : str
-        The caller's key, which must not occur in what is sent to a target.
+        The caller's key; statements that contain it are rejected.
     """
 
     owner: KeyOwner
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/group.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/group.py
@@ -1,4 +1,4 @@
-"""One database group at this VM: its monitor, watches and pools."""
+"""A database group at this VM: its monitor, watches and connection pools."""
 
 from __future__ import annotations
 
@@ -41,17 +41,17 @@
     from guavabarrow_daemon.settings import Settings
     from guavabarrow_daemon.trace_recorder import TraceRecorder
 
-TICK_S = 0.1
-FAST_INTERVAL_S = 0.003
-SLOW_INTERVAL_S = 0.05
+TICK_INTERVAL_S = 0.1
+FAST_PROBE_INTERVAL_S = 0.003
+SLOW_PROBE_INTERVAL_S = 0.05
 COMMAND_TIMEOUT_S = 0.4
-ABORT_SILENT_S = 1.5
+UNRESPONSIVE_AFTER_S = 1.5
 REPORT_WAIT_S = 0.25
 
 
 @dataclass(eq=False, slots=True)
 class DurabilityWaiter:
-    """An acknowledgement that waits for a majority."""
+    """Write that waits until a majority of the databases has it."""
 
     position: LogPosition
     decided: Deferred[Durability]
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class GroupContext:
-    """What all groups of a VM share."""
+    """Settings and services shared by all groups of a VM."""
 
     settings: Settings
     driver: SqlDriver
@@ -73,14 +73,14 @@
 
 @dataclass(slots=True)
 class GroupTargets:
-    """Watches and pools of a group, keyed by target."""
+    """Watches and connection pools of a group, keyed by target name."""
 
     watch_by_target: dict[str, TargetWatch] = field(default_factory=dict)
     pool_by_target: dict[str, PermitPool] = field(default_factory=dict)
 
 
 class Group(ReportReceiver):
-    """One database group at this VM.
+    """A database group at this VM.
 
     Parameters
     ----------
@@ -96,51 +96,51 @@
         self.targets = GroupTargets()
         self._waiters: list[DurabilityWaiter] = []
         self._listeners: list[Deferred[None]] = []
-        self._primary_name: str | None = None
-        self._confirmed_at = float("-inf")
+        self._logged_primary: str | None = None
+        self._all_probed_at = float("-inf")
         self.monitor = self._create_monitor(entry)
         self._loop = LoopingCall(lambda: self.step(Tick()))
         self._loop.clock = context.reactor
-        self._loop.start(TICK_S, now=False)
+        self._loop.start(TICK_INTERVAL_S, now=False)
 
     @property
     def view(self) -> GroupView:
-        """Latest reports."""
+        """Latest status reports of the databases."""
         return self.monitor.view
 
     @property
     def watch_interval_s(self) -> float:
-        """Shortest time between two probes of a database."""
-        return FAST_INTERVAL_S if self._waiters else SLOW_INTERVAL_S
+        """Shortest time between two probes of a database, in s."""
+        return FAST_PROBE_INTERVAL_S if self._waiters else SLOW_PROBE_INTERVAL_S
 
     def configure(self, entry: ServiceEntry, leaving: frozenset[str]) -> None:
-        """Start and stop watches as the configuration says."""
-        wanted = {target.name: target for target in entry.targets}
-        for name in set(self.targets.watch_by_target) - set(wanted):
-            self._remove(name)
-        for name, target in wanted.items():
-            known = self.targets.watch_by_target.get(name)
-            if known is not None and _address(known.target) != _address(target):
-                self._remove(name)
-                known = None
-            if known is None:
-                self._add(target)
+        """Start and stop watches and pools to match the configuration."""
+        target_by_name = {target.name: target for target in entry.targets}
+        for name in set(self.targets.watch_by_target) - set(target_by_name):
+            self._remove_target(name)
+        for name, target in target_by_name.items():
+            watch = self.targets.watch_by_target.get(name)
+            if watch is not None and _address(watch.target) != _address(target):
+                self._remove_target(name)
+                watch = None
+            if watch is None:
+                self._add_target(target)
         rank = self.context.membership.rank(f"promote/{self.name}")
-        self.step(MembersChanged(tuple(wanted), leaving, rank))
+        self.step(MembersChanged(tuple(target_by_name), leaving, rank))
         for name in leaving & set(self.targets.pool_by_target):
             self.targets.pool_by_target[name].close_idle()
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Stop all tasks and answer the waiting writes with PENDING."""
         self._loop.stop()
         for name in list(self.targets.watch_by_target):
-            self._remove(name)
+            self._remove_target(name)
         for waiter in self._waiters:
             waiter.decided.callback(Durability.PENDING)
         self._waiters.clear()
 
     def step(self, event: Event) -> None:
-        """Feed the monitor and perform its actions."""
+        """Pass an event to the monitor and perform the resulting actions."""
         now = self.context.reactor.seconds()
         actions = self.monitor.step(event, now)
         if self.context.recorder is not None:
@@ -148,10 +148,10 @@
         for action in actions:
             self._perform(action)
         if isinstance(event, Tick):
-            self._abort_silent()
+            self._abort_unresponsive()
             return
-        self._decide_waiters()
-        self._notice_primary()
+        self._resolve_waiters()
+        self._log_primary_change()
         listeners, self._listeners = self._listeners, []
         for listener in listeners:
             if not listener.called:
@@ -160,7 +160,7 @@
     async def wait_durable(
         self, position: LogPosition, *, deadline: float
     ) -> Durability:
-        """Wait until an entry is durable or lost.
+        """Wait until a log entry is durable or lost.
 
         Returns
         -------
@@ -176,14 +176,14 @@
             for watch in self.targets.watch_by_target.values():
                 watch.wake()
         remaining_s = max(0.0, deadline - self.context.reactor.seconds())
-        timer = self.context.reactor.callLater(remaining_s, self._expire, waiter)
+        timer = self.context.reactor.callLater(remaining_s, self._expire_waiter, waiter)
         result = await waiter.decided
         if timer.active():
             timer.cancel()
         return result
 
     async def wait_report(self, timeout_s: float) -> None:
-        """Wait for the next report, at most ``timeout_s``."""
+        """Wait for the next event of the group, at most ``timeout_s``."""
         listener: Deferred[None] = Deferred()
         self._listeners.append(listener)
         timer = self.context.reactor.callLater(
@@ -193,15 +193,15 @@
         if timer.active():
             timer.cancel()
 
-    async def wait_checked(
+    async def wait_until_checked(
         self, database: str, *, since: float, deadline: float
     ) -> bool:
-        """Wait until a database that failed is known to be primary or not.
+        """Wait until reports show whether a failed database is still primary.
 
         Returns
         -------
         bool
-            True if it was probed successfully after ``since`` and is primary.
+            True if a probe sent after ``since`` succeeded and it is still primary.
         """
         while self.context.reactor.seconds() < deadline:
             primary = self.view.primary
@@ -212,12 +212,12 @@
             await self.wait_report(REPORT_WAIT_S)
         return False
 
-    def confirm(self) -> None:
-        """Probe all databases at once, for a read that needs newer proof."""
+    def probe_all(self) -> None:
+        """Probe all databases at once, for a read that needs newer status reports."""
         now = self.context.reactor.seconds()
-        if now - self._confirmed_at < FAST_INTERVAL_S:
+        if now - self._all_probed_at < FAST_PROBE_INTERVAL_S:
             return
-        self._confirmed_at = now
+        self._all_probed_at = now
         for watch in self.targets.watch_by_target.values():
             watch.probe_now()
 
@@ -241,7 +241,7 @@
             corroborate=start.corroborate,
         )
 
-    def _add(self, target: Target) -> None:
+    def _add_target(self, target: Target) -> None:
         context = self.context
         address = context.settings.dial_address(target.host, target.port)
         control = context.driver.control(*address)
@@ -256,16 +256,16 @@
             is_fair=context.settings.policies.queue == "fair",
         )
 
-    def _remove(self, name: str) -> None:
+    def _remove_target(self, name: str) -> None:
         self.targets.watch_by_target.pop(name).stop()
         self.targets.pool_by_target.pop(name).close()
 
-    def _expire(self, waiter: DurabilityWaiter) -> None:
+    def _expire_waiter(self, waiter: DurabilityWaiter) -> None:
         if waiter in self._waiters:
             self._waiters.remove(waiter)
             waiter.decided.callback(Durability.PENDING)
 
-    def _decide_waiters(self) -> None:
+    def _resolve_waiters(self) -> None:
         if not self._waiters:
             return
         pending = []
@@ -280,26 +280,29 @@
         for waiter, durability in decided:
             waiter.decided.callback(durability)
 
-    def _abort_silent(self) -> None:
-        """Break connections to databases that have stopped answering probes."""
+    def _abort_unresponsive(self) -> None:
+        """Abort connections to databases that no longer answer probes.
+
+        Does nothing if no database has answered within half of the limit.
+        """
         now = self.context.reactor.seconds()
-        silences = [
+        unanswered_s = [
             self.monitor.since_answer_s(name, now) for name in self.view.databases
         ]
-        if min(silences, default=0.0) > ABORT_SILENT_S / 2:
+        if min(unanswered_s, default=0.0) > UNRESPONSIVE_AFTER_S / 2:
             return
         for name, pool in self.targets.pool_by_target.items():
             if not pool.state.busy:
                 continue
-            if self.monitor.since_answer_s(name, now) > ABORT_SILENT_S:
+            if self.monitor.since_answer_s(name, now) > UNRESPONSIVE_AFTER_S:
                 pool.abort_all()
 
-    def _notice_primary(self) -> None:
+    def _log_primary_change(self) -> None:
         primary = self.view.primary
         name = primary.database if primary is not None else None
-        if name == self._primary_name:
+        if name == self._logged_primary:
             return
-        self._primary_name = name
+        self._logged_primary = name
         term = primary.lineage.last.term if primary is not None else 0
         log_state(
             self.context.settings.vm,
@@ -316,7 +319,7 @@
             case SendPromote(database, term):
                 Deferred.fromCoroutine(self._promote(database, term))
             case PromotionEnded():
-                self._count_promotion(action)
+                self._record_promotion(action)
 
     async def _fence(self, database: str, term: int) -> None:
         watch = self.targets.watch_by_target.get(database)
@@ -345,7 +348,7 @@
                 return
         self.step(PromoteReplied(database, term, accepted))
 
-    def _count_promotion(self, action: PromotionEnded) -> None:
+    def _record_promotion(self, action: PromotionEnded) -> None:
         metrics = self.context.metrics
         result = "succeeded" if action.database else "given_up"
         metrics.promotions.labels(self.name, result).inc()
@@ -370,7 +373,7 @@
 
 
 def hash_seed(*parts: str) -> int:
-    """Return a seed that is the same in every run for the same names."""
+    """Return a seed that depends only on the names, so that runs are repeatable."""
     return sum(
         byte * (position + 1) for position, byte in enumerate("/".join(parts).encode())
     )
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/key_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/key_service.py
@@ -1,4 +1,4 @@
-"""Authenticates callers against the keys in force."""
+"""Authenticates callers against the keys of the current configuration."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class KeyService(Service):
-    """Owner of the key ring of the configuration in force.
+    """Key ring of the current configuration.
 
     Parameters
     ----------
     kernel : Kernel
-        Registry.
+        Service registry.
     """
 
     name = "keys"
@@ -32,7 +32,7 @@
         self._ring = KeyRing({})
 
     async def start(self) -> None:
-        """Follow the configuration, before services that cut connections."""
+        """Subscribe to the configuration, ahead of services that close connections."""
         self._configuration.on_change.insert(0, self._apply)
         self._apply(self._configuration.fleet)
 
@@ -40,8 +40,8 @@
         """Return the owner of a key, None if it is unknown or withdrawn."""
         return self._ring.find(key)
 
-    def is_in_force(self, owner: KeyOwner) -> bool:
-        """Tell whether a key that was accepted earlier still is."""
+    def is_valid(self, owner: KeyOwner) -> bool:
+        """Return whether a key that was accepted earlier is still valid."""
         return owner == OPEN_OWNER or self._ring.contains(owner)
 
     def _apply(self, fleet: Fleet) -> None:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/statement_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/statement_service.py
@@ -1,4 +1,4 @@
-"""Runs reads and writes of callers on the databases of a group."""
+"""Runs the reads and writes of callers on the databases of a group."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadResult:
-    """Result of a read and where it was read."""
+    """Result of a read and the kind of database that served it."""
 
     result: Result
     is_replica: bool
@@ -78,9 +78,9 @@
     Parameters
     ----------
     kernel : Kernel
-        Registry.
+        Service registry.
     settings : Settings
-        Policies.
+        Read policy.
     reactor : object
         Clock.
     """
@@ -94,16 +94,16 @@
         self._keys = kernel.find(KeyService)
         self._metrics = kernel.find(Metrics)
         self._policy = create_read_policy(settings.policies.reads)
-        self._budget_by_service: dict[str, RetryBudget] = {}
+        self._retry_budget_by_service: dict[str, RetryBudget] = {}
 
     async def read(
         self,
         context: CallerContext,
         service: str,
         message: Execute,
-        demand: ReadRequirement,
+        requirement: ReadRequirement,
     ) -> ReadResult:
-        """Run a read on a database that satisfies the demand.
+        """Run a read on a database that is fresh enough.
 
         Parameters
         ----------
@@ -112,14 +112,14 @@
         service : str
             Service that is read.
         message : Execute
-            Statement; the required position is filled in.
-        demand : ReadRequirement
-            Position and age.
+            Statement; the required log position is filled in.
+        requirement : ReadRequirement
+            Required log position and maximum age.
 
         Returns
         -------
         ReadResult
-            Never older than demanded.
+            Result that satisfies the requirement.
 
         Raises
         ------
@@ -130,14 +130,14 @@
         message = msgspec.structs.replace(
             message,
             read=True,
-            min_term=demand.position.term,
-            min_index=demand.position.index,
+            min_term=requirement.position.term,
+            min_index=requirement.position.index,
         )
-        budget = self._budget(service)
+        budget = self._retry_budget(service)
         budget.deposit()
         failed: frozenset[str] = frozenset()
         while True:
-            choice = await self._choose(context, group, demand, failed)
+            choice = await self._choose_database(context, group, requirement, failed)
             try:
                 result = await self._execute(context, group, choice.database, message)
                 return ReadResult(result, choice.is_replica)
@@ -154,13 +154,13 @@
                     await group.wait_report(REPORT_WAIT_S)
             except TargetRefused as problem:
                 if problem.code != CODE_BEHIND:
-                    raise_refusal(problem)
+                    raise_request_error(problem)
                 await group.wait_report(REPORT_WAIT_S)
 
     async def write(
         self, context: CallerContext, service: str, message: Execute
     ) -> Result:
-        """Run a write and acknowledge it once it survives every promotion.
+        """Run a write and acknowledge it once no promotion can lose it.
 
         Parameters
         ----------
@@ -169,26 +169,26 @@
         service : str
             Service that is written.
         message : Execute
-            Statement with its request id; a repeat of the id cannot run twice.
+            Statement with its request id, which prevents it from running twice.
 
         Returns
         -------
         Result
-            Durable result.
+            Result of the durable write.
 
         Raises
         ------
         RequestError
-            States whether the write ran.
+            If the write failed; its ``ran`` states whether the write ran.
         """
         group = self._groups.find(service)
-        budget = self._budget(service)
+        budget = self._retry_budget(service)
         budget.deposit()
         in_doubt = False
         while True:
             try:
                 primary = await self.await_primary(group, context.deadline)
-                result = await self._write_at(context, group, primary, message)
+                result = await self._execute_write(context, group, primary, message)
             except TargetUnreachable:
                 await group.wait_report(REPORT_WAIT_S)
                 continue
@@ -198,11 +198,13 @@
                 continue
             except TargetBroken as error:
                 in_doubt = True
-                await self._check_budget(context, group, primary, budget, error)
+                await self._authorize_write_retry(
+                    context, group, primary, budget, error
+                )
                 continue
-            except RequestError as refusal:
-                if in_doubt and refusal.ran is ExecutionStatus.NOT_RUN:
-                    raise _unknown(refusal.detail) from refusal
+            except RequestError as request_error:
+                if in_doubt and request_error.ran is ExecutionStatus.NOT_RUN:
+                    raise _outcome_unknown(request_error.detail) from request_error
                 raise
             durability = await group.wait_durable(
                 result.position, deadline=context.deadline
@@ -211,23 +213,25 @@
                 context.token = context.token.advanced(service, result.position)
                 return result
             if durability is Durability.PENDING:
-                raise _unknown("The write is not yet on a majority of the databases.")
+                raise _outcome_unknown(
+                    "The write has not yet reached a majority of the databases."
+                )
             in_doubt = False
 
     async def resolve(
         self, context: CallerContext, service: str, request_id: str
     ) -> Result | None:
-        """Learn the outcome of a request whose answer was lost.
+        """Look up the outcome of a request whose answer was lost.
 
         Returns
         -------
         Result or None
-            None if it never ran and never will.
+            None if the request did not run and is now barred from running.
 
         Raises
         ------
         OutcomeUnknown
-            If no primary could tell before the deadline.
+            If no primary answered before the deadline.
         """
         group = self._groups.find(service)
         deadline = context.deadline
@@ -253,10 +257,10 @@
             if durability is Durability.DURABLE:
                 context.token = context.token.advanced(service, position)
                 return answer.result
-        raise _unknown("No primary could tell the outcome before the deadline.")
+        raise _outcome_unknown("No primary reported the outcome before the deadline.")
 
     async def await_primary(self, group: Group, deadline: float) -> DatabaseReport:
-        """Wait until the group has a primary that takes writes.
+        """Wait until the group has a primary that accepts writes.
 
         Raises
         ------
@@ -278,7 +282,7 @@
     async def checkout_primary(
         self, context: CallerContext, group: Group
     ) -> tuple[Checkout, int]:
-        """Return a connection to the primary and the primary's term."""
+        """Check out a connection to the primary and return it with the term."""
         while True:
             primary = await self.await_primary(group, context.deadline)
             try:
@@ -290,7 +294,7 @@
                 continue
             return checkout, primary.lineage.last.term
 
-    async def _write_at(
+    async def _execute_write(
         self,
         context: CallerContext,
         group: Group,
@@ -301,7 +305,7 @@
         message = msgspec.structs.replace(message, term=term, read=False)
         return await self._execute(context, group, primary.database, message)
 
-    async def _check_budget(
+    async def _authorize_write_retry(
         self,
         context: CallerContext,
         group: Group,
@@ -309,19 +313,19 @@
         budget: RetryBudget,
         error: TargetBroken,
     ) -> None:
-        """Let a write in doubt be repeated; at the same primary within the budget.
+        """Wait until a write in doubt can be retried, and charge the retry budget.
 
-        The repeat carries the same request id, so it cannot run twice. A failover
-        repeats every write in progress once, which loads the new primary with no
-        more than callers asked for.
+        The retry carries the same request id, so it cannot run twice. Only a retry
+        at the same primary is charged: a failover retries every write in progress
+        once, which loads the new primary with no more than the callers' own writes.
         """
-        is_alive = await group.wait_checked(
+        is_still_primary = await group.wait_until_checked(
             primary.database,
             since=self._reactor.seconds(),
             deadline=context.deadline,
         )
-        if is_alive and not budget.withdraw():
-            raise _unknown(str(error)) from error
+        if is_still_primary and not budget.withdraw():
+            raise _outcome_unknown(str(error)) from error
         self._metrics.retries.labels(group.name).inc()
 
     async def _execute(
@@ -349,26 +353,26 @@
         checkout = await pool.acquire(
             team=context.team, weight=context.limits.weight, deadline=deadline
         )
-        if not self._keys.is_in_force(context.owner):
+        if not self._keys.is_valid(context.owner):
             checkout.release(is_clean=True)
             raise Unauthenticated("The key was withdrawn; the request was not run.")
         return checkout
 
-    async def _choose(
+    async def _choose_database(
         self,
         context: CallerContext,
         group: Group,
-        demand: ReadRequirement,
+        requirement: ReadRequirement,
         failed: frozenset[str],
     ) -> ReadFrom:
         while True:
             now = self._reactor.seconds()
             route = self._policy.route(
-                demand,
+                requirement,
                 view=group.view,
                 leaving=group.monitor.leaving | failed,
                 load=group_load(group),
-                waited_s=now - demand.arrived_at,
+                waited_s=now - requirement.arrived_at,
                 now=now,
             )
             if isinstance(route, ReadFrom):
@@ -383,22 +387,22 @@
             wait_s = REPORT_WAIT_S
             if isinstance(route, WaitForReport):
                 wait_s = min(wait_s, route.timeout_s)
-                group.confirm()
+                group.probe_all()
             await group.wait_report(min(wait_s, remaining_s))
 
     def _check_retryable(self, problem: TargetRefused, in_doubt: bool) -> None:
         if problem.code == CODE_NOT_PRIMARY:
             return
         if in_doubt and problem.code == CODE_STATEMENT_FAILED:
-            raise _unknown(problem.detail) from problem
-        raise_refusal(problem)
+            raise _outcome_unknown(problem.detail) from problem
+        raise_request_error(problem)
 
-    def _budget(self, service: str) -> RetryBudget:
-        return self._budget_by_service.setdefault(service, RetryBudget())
+    def _retry_budget(self, service: str) -> RetryBudget:
+        return self._retry_budget_by_service.setdefault(service, RetryBudget())
 
 
 def create_read_policy(name: str) -> ReadPolicy:
-    """Return the policy with this name in the settings."""
+    """Return the read policy that the settings name."""
     policies: dict[str, type[ReadPolicy]] = {
         "adaptive": AdaptiveReadPolicy,
         "fixed_wait": FixedWaitReadPolicy,
@@ -408,36 +412,38 @@
 
 
 def group_load(group: Group) -> PoolLoad:
-    """Return the outstanding statements of a group's pools."""
+    """Return the number of outstanding statements per pool of a group."""
     return PoolLoad(
         {name: pool.outstanding for name, pool in group.targets.pool_by_target.items()}
     )
 
 
-def raise_refusal(problem: TargetRefused) -> NoReturn:
-    """Raise the refusal that tells a caller about a database's refusal."""
+def raise_request_error(problem: TargetRefused) -> NoReturn:
+    """Raise the caller's error for a statement that a database refused."""
     match problem.code:
         case code if code == CODE_STATEMENT_FAILED:
             raise StatementFailed(problem.detail) from problem
         case code if code == CODE_WRITE_IN_READ:
-            raise BadRequest("The statement writes; send it without read.") from problem
+            raise BadRequest(
+                "The statement writes; send it without read: true."
+            ) from problem
         case code if code == CODE_ID_REUSED:
             raise RequestIdReused(
-                "The Request-Id was used before with another request; not run."
+                "The Request-Id was used for another request; this one was not run."
             ) from problem
         case code if code == CODE_MUST_NOT_RUN:
             raise DeadlineExceeded(
-                "The request was reported as not run before and stays so; "
+                "The request was already reported as not run and cannot run any more; "
                 "use a new Request-Id."
             ) from problem
     raise Overloaded(
-        f"The database refused the request: {problem.code}",
+        f"The database refused the request: {problem.code}.",
         retry_after_s=RETRY_AFTER_S,
     ) from problem
 
 
-def _unknown(detail: str) -> OutcomeUnknown:
+def _outcome_unknown(detail: str) -> OutcomeUnknown:
     return OutcomeUnknown(
-        f"{detail} Repeat the request with the same Request-Id to learn its outcome.",
+        f"{detail} Repeat the request with the same Request-Id to get its outcome.",
         retry_after_s=RETRY_AFTER_S,
     )
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/transaction_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/transaction_service.py
@@ -1,4 +1,4 @@
-"""Interactive transactions, each pinned to one connection of the primary."""
+"""Interactive transactions, each pinned to one connection to the primary."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
     from guavabarrow_daemon.settings import Settings
     from guavabarrow_daemon.targets.permit_pool import Checkout
 
-CHECK_S = 0.25
-ID_BYTES = 18
+STALE_CHECK_INTERVAL_S = 0.25
+TRANSACTION_ID_BYTES = 18
 
 
 @dataclass(eq=False, slots=True)
@@ -54,17 +54,17 @@
     Parameters
     ----------
     transaction_id : str
-        Unguessable id.
+        Random id that cannot be guessed.
     owner : KeyOwner
-        Team and key that opened it; nobody else may use it.
+        Team and key that opened it; other teams cannot use it.
     service : str
-        Service that is written.
+        Service in whose group it runs.
     checkout : Checkout
-        Connection, used by nobody else until the end.
+        Connection that the transaction holds exclusively until it ends.
     term : int
-        Term of the primary.
-    used_at : float
-        Monotonic time of the last statement.
+        Term of the primary when the transaction began.
+    last_used_at : float
+        Monotonic time of the last statement, in s.
     """
 
     transaction_id: str
@@ -72,22 +72,24 @@
     service: str
     checkout: Checkout
     term: int
-    used_at: float
+    last_used_at: float
     is_busy: bool = False
     fingerprint: Any = field(default_factory=lambda: blake2b(digest_size=16))
 
 
 class TransactionService(Service):
-    """Owner of the open transactions of this VM.
+    """Runs the open transactions of this VM.
 
     Parameters
     ----------
     kernel : Kernel
-        Registry.
+        Service registry.
     settings : Settings
-        Limits.
+        Idle limit of transactions.
     reactor : object
-        Clock; ``wall_clock`` is used for request ids only.
+        Clock.
+    wall_clock : callable
+        Returns the Unix time in s; used only for new request ids.
     """
 
     name = "transactions"
@@ -103,30 +105,30 @@
         self._groups = kernel.find(GroupService)
         self._keys = kernel.find(KeyService)
         self._by_id: dict[str, OpenTransaction] = {}
-        self._loop = LoopingCall(self._end_stale)
+        self._loop = LoopingCall(self._abort_stale)
         self._loop.clock = reactor
 
     def __len__(self) -> int:
         return len(self._by_id)
 
     async def start(self) -> None:
-        """Start to look for idle transactions and withdrawn keys."""
-        self._loop.start(CHECK_S)
+        """Start aborting transactions that are idle or whose key was withdrawn."""
+        self._loop.start(STALE_CHECK_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Break what is still open; the databases roll back."""
+        """Abort the open transactions; the databases roll them back."""
         if self._loop.running:
             self._loop.stop()
         for transaction in list(self._by_id.values()):
-            self._abandon(transaction)
+            self._abort(transaction)
 
     async def begin(self, context: CallerContext, service: str) -> str:
-        """Open a transaction at the primary.
+        """Open a transaction on the primary.
 
         Returns
         -------
         str
-            Id for the following requests, valid at this VM only.
+            Id for the following requests, valid only at this VM.
         """
         group = self._groups.find(service)
         while True:
@@ -139,7 +141,7 @@
                 await group.wait_report(RETRY_AFTER_S)
                 continue
             transaction = OpenTransaction(
-                token_urlsafe(ID_BYTES),
+                token_urlsafe(TRANSACTION_ID_BYTES),
                 context.owner,
                 service,
                 checkout,
@@ -153,7 +155,7 @@
         self, context: CallerContext, transaction_id: str, message: Execute
     ) -> Result:
         """Run a statement in an open transaction."""
-        transaction = self._take(context, transaction_id)
+        transaction = self._claim(context, transaction_id)
         transaction.fingerprint.update(msgspec.json.encode(message))
         timeout_s = context.deadline - self._reactor.seconds()
         try:
@@ -161,26 +163,26 @@
                 message, timeout_s=timeout_s
             )
         except TargetBroken as error:
-            self._abandon(transaction)
+            self._abort(transaction)
             raise TransactionLost(
-                f"The connection of the transaction broke: {error}. "
-                "It is rolled back; begin again."
+                f"The connection of the transaction was lost: {error}. "
+                "It is rolled back; begin a new one."
             ) from error
         except TargetRefused as problem:
             if problem.code == CODE_STATEMENT_FAILED:
                 raise StatementFailed(problem.detail) from problem
-            self._abandon(transaction)
+            self._abort(transaction)
             raise TransactionLost(
-                f"The database ended the transaction: {problem.code}. Begin again."
+                f"The database ended the transaction: {problem.code}. Begin a new one."
             ) from problem
         finally:
             transaction.is_busy = False
-            transaction.used_at = self._reactor.seconds()
+            transaction.last_used_at = self._reactor.seconds()
         return result
 
     async def rollback(self, context: CallerContext, transaction_id: str) -> None:
-        """End a transaction without effect."""
-        transaction = self._take(context, transaction_id)
+        """Roll back a transaction."""
+        transaction = self._claim(context, transaction_id)
         self._by_id.pop(transaction_id, None)
         timeout_s = context.deadline - self._reactor.seconds()
         try:
@@ -196,11 +198,11 @@
         Raises
         ------
         TransactionLost
-            If it had no effect and never will.
+            If it was rolled back.
         OutcomeUnknown
-            If that could not be learned before the deadline.
+            If its outcome could not be determined before the deadline.
         """
-        transaction = self._take(context, transaction_id)
+        transaction = self._claim(context, transaction_id)
         self._by_id.pop(transaction_id, None)
         request_id = context.request_id or create_request_id(self._wall_clock())
         message = Commit(context.team, request_id, transaction.fingerprint.hexdigest())
@@ -214,7 +216,7 @@
             return await self._resolve(context, transaction, request_id)
         except TargetRefused as problem:
             transaction.checkout.release(is_clean=True)
-            raise _commit_refusal(problem) from problem
+            raise _create_commit_error(problem) from problem
         transaction.checkout.release(is_clean=True)
         group = self._groups.find(transaction.service)
         return await self._acknowledge(context, group, result, request_id, transaction)
@@ -236,7 +238,7 @@
         if durability is Durability.LOST:
             return await self._resolve(context, transaction, request_id)
         raise OutcomeUnknown(
-            "The commit is not yet on a majority of the databases.",
+            "The commit has not yet reached a majority of the databases.",
             retry_after_s=RETRY_AFTER_S,
         )
 
@@ -248,17 +250,17 @@
         )
         if result is None:
             raise TransactionLost(
-                "The connection broke before the commit; the transaction was rolled "
-                "back. Begin again with a new Request-Id."
+                "The commit did not take effect; the transaction was rolled back. "
+                "Begin a new one with a new Request-Id."
             )
         return result
 
-    def _take(self, context: CallerContext, transaction_id: str) -> OpenTransaction:
+    def _claim(self, context: CallerContext, transaction_id: str) -> OpenTransaction:
         transaction = self._by_id.get(transaction_id)
         if transaction is None or transaction.owner.team != context.team:
             raise UnknownTransaction(
                 "No such transaction is open at this VM; it ended, expired or was "
-                "opened elsewhere."
+                "opened at another VM."
             )
         if transaction.is_busy:
             raise Overloaded(
@@ -266,34 +268,37 @@
                 retry_after_s=RETRY_AFTER_S,
             )
         if not transaction.checkout.connection.is_open:
-            self._abandon(transaction)
+            self._abort(transaction)
             raise TransactionLost(
-                "The connection of the transaction broke. It is rolled back; "
-                "begin again."
+                "The connection of the transaction was lost. It is rolled back; "
+                "begin a new one."
             )
         transaction.is_busy = True
         return transaction
 
-    def _abandon(self, transaction: OpenTransaction) -> None:
+    def _abort(self, transaction: OpenTransaction) -> None:
         self._by_id.pop(transaction.transaction_id, None)
         transaction.checkout.release(is_clean=False)
 
-    def _end_stale(self) -> None:
+    def _abort_stale(self) -> None:
         now = self._reactor.seconds()
         idle_s = self._settings.limits.transaction_idle_ms / 1000
         for transaction in list(self._by_id.values()):
-            is_idle = not transaction.is_busy and now - transaction.used_at > idle_s
-            if is_idle or not self._keys.is_in_force(transaction.owner):
-                self._abandon(transaction)
+            is_idle = (
+                not transaction.is_busy and now - transaction.last_used_at > idle_s
+            )
+            if is_idle or not self._keys.is_valid(transaction.owner):
+                self._abort(transaction)
 
 
-def _commit_refusal(problem: TargetRefused) -> Exception:
+def _create_commit_error(problem: TargetRefused) -> Exception:
     if problem.code == CODE_ID_REUSED:
         return RequestIdReused(
-            "The Request-Id was used before with another request; not run."
+            "The Request-Id was used for another request; this one was not run."
         )
     if problem.code == CODE_STATEMENT_FAILED:
         return StatementFailed(problem.detail)
     return TransactionLost(
-        f"The database did not commit: {problem.code}. It is rolled back; begin again."
+        f"The database did not commit: {problem.code}. "
+        "It is rolled back; begin a new one."
     )
