--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/group_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/group_service.py
@@ -1,4 +1,4 @@
-"""Keeps one group for each service of the configuration."""
+"""Runs one database group for each service of the configuration."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class GroupService(Service):
-    """Owner of all groups of this VM.
+    """Creates, configures and stops the groups of this VM.
 
     Parameters
     ----------
     kernel : Kernel
-        Registry.
+        Service registry.
     settings : Settings
         Names, policies and address overrides.
     driver : SqlDriver
@@ -33,7 +33,8 @@
     reactor : object
         Clock.
     incarnation : int
-        Start of this process; part of the owner of promised terms.
+        Incarnation number of this process; part of the owner name that is sent with
+        fence and promote requests.
     """
 
     name = "groups"
@@ -62,7 +63,7 @@
         self.by_name: dict[str, Group] = {}
 
     async def start(self) -> None:
-        """Follow the configuration and the membership."""
+        """Subscribe to configuration and membership changes."""
         self._configuration.on_change.append(self._configure)
         self._context.membership.on_change.append(
             lambda: self._configure(self._configuration.fleet)
@@ -70,7 +71,7 @@
         self._configure(self._configuration.fleet)
 
     async def stop(self) -> None:
-        """End all tasks."""
+        """Stop all groups and close the trace."""
         for group in self.by_name.values():
             group.stop()
         self.by_name.clear()
@@ -83,7 +84,7 @@
         Raises
         ------
         ServiceNotAllowed
-            If there is none.
+            If the configuration has no such service.
         """
         group = self.by_name.get(name)
         if group is None:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/target_watch.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/target_watch.py
@@ -1,4 +1,4 @@
-"""Keeps one database's status up to date."""
+"""Polls the status of one database and reports it to its group."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 if TYPE_CHECKING:
     from guavabarrow_core.fleet import Target
 
-HOLD_S = 0.5
+LONG_POLL_S = 0.5
 WATCH_TIMEOUT_S = 1.0
-RETRY_S = 0.1
+RETRY_DELAY_S = 0.1
 
 
 class ReportReceiver(ABC):
-    """Takes what is learnt about the databases of one group."""
+    """Receives status reports and probe failures of a group's databases."""
 
     @property
     @abstractmethod
@@ -35,18 +35,18 @@
 
     @abstractmethod
     def step(self, event: ProbeFailed | ReportReceived) -> None:
-        """Handle an event."""
+        """Handle a report or a failed probe."""
 
 
 class TargetWatch:
-    """Task that keeps one database's status up to date.
+    """Task that long-polls the status of one database.
 
     Parameters
     ----------
     target : Target
         Database.
     control : TargetControl
-        Control client that this task owns.
+        Control client of the database; closed by ``stop``.
     group : ReportReceiver
         Receiver of the events.
     reactor : object
@@ -69,18 +69,18 @@
         Deferred.fromCoroutine(self._run())
 
     def wake(self) -> None:
-        """End the pause between two probes."""
+        """End the pause between two probes early."""
         pause, self._pause = self._pause, None
         if pause is not None:
             pause.callback(None)
 
     def stop(self) -> None:
-        """End the task."""
+        """Stop the task and close the control client."""
         self._running = False
         self.control.close()
 
     def probe_now(self) -> None:
-        """Probe without waiting for a change, beside the running watch."""
+        """Request the status at once, in parallel with the running long poll."""
         Deferred.fromCoroutine(self._probe())
 
     async def _probe(self) -> None:
@@ -93,28 +93,30 @@
             self._report(status, sent_at)
 
     async def _run(self) -> None:
-        known = Watch()
+        watch_request = Watch()
         while self._running:
             sent_at = self._reactor.seconds()
             try:
-                status = await self.control.watch(known, timeout_s=WATCH_TIMEOUT_S)
+                status = await self.control.watch(
+                    watch_request, timeout_s=WATCH_TIMEOUT_S
+                )
             except (TargetBroken, TargetRefused):
-                known = Watch()
+                watch_request = Watch()
                 if self._running:
                     elapsed_s = self._reactor.seconds() - sent_at
                     is_broken = elapsed_s < WATCH_TIMEOUT_S * 0.9
                     self._group.step(ProbeFailed(self.target.name, is_broken))
-                    await deferLater(self._reactor, RETRY_S)
+                    await deferLater(self._reactor, RETRY_DELAY_S)
                 continue
             if not self._running:
                 return
-            held = self._reactor.seconds() - sent_at
+            poll_duration_s = self._reactor.seconds() - sent_at
             self._report(status, sent_at)
             last = status.lineage.last
-            known = Watch(
-                last.term, last.index, status.promised_term, int(HOLD_S * 1000)
+            watch_request = Watch(
+                last.term, last.index, status.promised_term, int(LONG_POLL_S * 1000)
             )
-            pause_s = self._group.watch_interval_s - held
+            pause_s = self._group.watch_interval_s - poll_duration_s
             if pause_s > 0:
                 await self._pause_for(pause_s)
 
