--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/admin_api.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/admin_api.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 and JSON interface for operators, with metrics for the monitoring."""
+"""HTTP/1.1 and JSON API for operators, and the metrics endpoint."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 
 
 class ChangeRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A change as an operator states it.
+    """Body of a request to change the configuration.
 
     Parameters
     ----------
     changes : list of Change
-        Applied all or none.
+        Applied atomically.
     operation_id : str
         Unique id; a repeat returns the version of the first run.
     author : str
         Who makes the change.
     base_version : int or None
-        Version on which it was decided; None takes the head.
+        Version that the change is based on; None takes the newest.
     """
 
     changes: list[Change]
@@ -51,20 +51,20 @@
 
 
 class ChangeAnswer(msgspec.Struct, frozen=True):
-    """Version that holds the change."""
+    """Configuration version that contains the change."""
 
     version: int
 
 
 class AdminProblem(msgspec.Struct, frozen=True):
-    """Refusal of an operator's request."""
+    """Error answer to an operator's request."""
 
     code: str
     detail: str
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """A VM as this VM sees it."""
+    """Status of a VM in this VM's membership table."""
 
     vm: str
     domain: str
@@ -76,7 +76,7 @@
 
 
 class TargetStatus(msgspec.Struct, frozen=True):
-    """A database as this VM sees it."""
+    """Status of a database according to this VM's probes."""
 
     target: str
     role: str
@@ -90,7 +90,7 @@
 
 
 class GroupStatus(msgspec.Struct, frozen=True):
-    """A database group as this VM sees it."""
+    """Status of a database group according to this VM."""
 
     service: str
     primary: str | None
@@ -99,7 +99,7 @@
 
 
 class VmStatus(msgspec.Struct, frozen=True):
-    """State of this VM and what it knows of the fleet."""
+    """Status of this VM and its view of the fleet."""
 
     vm: str
     domain: str
@@ -112,16 +112,16 @@
 
 
 class AdminApi(Service):
-    """Owner of the listening port for operators.
+    """HTTP server for operators.
 
     Parameters
     ----------
     kernel : Kernel
-        Registry.
+        Service registry.
     settings : Settings
-        Address and secret.
+        Listening address and operators' secret.
     reactor : object
-        Reactor that owns the sockets.
+        Twisted reactor.
     on_drain : callable
         Starts the graceful shutdown of the process.
     """
@@ -149,16 +149,24 @@
         self._authorization = f"Bearer {secret}"
         routes = Routes()
         routes.add("GET", "/metrics", self._render_metrics)
-        routes.add("GET", "/admin/v1/fleet", self._guard(self._get_fleet))
-        routes.add("GET", "/admin/v1/status", self._guard(self._get_status))
-        routes.add("POST", "/admin/v1/changes", self._guard(self._change))
-        routes.add("POST", "/admin/v1/drain", self._guard(self._start_drain))
+        routes.add(
+            "GET", "/admin/v1/fleet", self._require_authorization(self._get_fleet)
+        )
+        routes.add(
+            "GET", "/admin/v1/status", self._require_authorization(self._get_status)
+        )
+        routes.add(
+            "POST", "/admin/v1/changes", self._require_authorization(self._apply_change)
+        )
+        routes.add(
+            "POST", "/admin/v1/drain", self._require_authorization(self._start_drain)
+        )
         self._site = TrackedSite(routes)
         self._port: Any = None
         self.address = str(settings.admin)
 
     async def start(self) -> None:
-        """Listen for operators."""
+        """Start listening for operators and announce the address to peers."""
         address = self._settings.admin
         self._port = self._reactor.listenTCP(
             address.port, self._site, interface=address.host
@@ -167,14 +175,14 @@
         self._membership.announce(admin_address=self.address)
 
     async def stop(self) -> None:
-        """Stop to listen and close all connections."""
+        """Stop listening and close all connections."""
         if self._port is not None:
             await self._port.stopListening()
         for channel in list(self._site.channels):
             channel.loseConnection()
 
     def status(self) -> VmStatus:
-        """Return what operators see."""
+        """Return the status of this VM for operators."""
         return VmStatus(
             vm=self._settings.vm,
             domain=self._settings.domain,
@@ -182,26 +190,29 @@
             version=self._configuration.chain.version,
             is_ledger_holder=self._ledger.is_holder,
             requests_in_progress=self._drain.in_progress,
-            members=self._members(),
-            groups=[self._group(group) for group in self._groups.by_name.values()],
+            members=self._member_statuses(),
+            groups=[
+                self._group_status(group) for group in self._groups.by_name.values()
+            ],
         )
 
-    def _members(self) -> list[MemberStatus]:
+    def _member_statuses(self) -> list[MemberStatus]:
         table = self._membership.table
         return [
             MemberStatus(
-                beat.vm,
-                beat.domain,
-                table.state_of(beat.vm).value,
-                beat.version,
-                beat.leaving,
-                beat.ledger_holder and table.state_of(beat.vm) is MemberState.ALIVE,
-                beat.admin_address,
+                heartbeat.vm,
+                heartbeat.domain,
+                table.state_of(heartbeat.vm).value,
+                heartbeat.version,
+                heartbeat.leaving,
+                heartbeat.ledger_holder
+                and table.state_of(heartbeat.vm) is MemberState.ALIVE,
+                heartbeat.admin_address,
             )
-            for beat in sorted(table.by_vm.values(), key=lambda item: item.vm)
+            for heartbeat in sorted(table.by_vm.values(), key=lambda item: item.vm)
         ]
 
-    def _group(self, group: Group) -> GroupStatus:
+    def _group_status(self, group: Group) -> GroupStatus:
         primary = group.view.primary
         now = self._reactor.seconds()
         targets = []
@@ -228,7 +239,7 @@
             targets,
         )
 
-    def _guard(
+    def _require_authorization(
         self, handler: Callable[[Request], Awaitable[None]]
     ) -> Callable[[Request], Awaitable[None]]:
         async def handle(request: Request) -> None:
@@ -259,7 +270,7 @@
     async def _get_status(self, request: Request) -> None:
         answer_json(request, 200, self.status())
 
-    async def _change(self, request: Request) -> None:
+    async def _apply_change(self, request: Request) -> None:
         try:
             body = msgspec.json.decode(request.content.read(), type=ChangeRequest)
             version = await self._configuration.change(
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/configuration_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/configuration_service.py
@@ -1,4 +1,4 @@
-"""Keeps the newest configuration in force and passes it on to peers."""
+"""Applies the newest configuration and distributes it to peers."""
 
 from __future__ import annotations
 
@@ -46,37 +46,37 @@
 HEAD_KEY = "config/head"
 REVISION_PREFIX = "config/revision/"
 SNAPSHOT_PREFIX = "fleet-"
-SNAPSHOT_EVERY = 50
-POLL_S = 0.5
-POLLERS = 2
+SNAPSHOT_INTERVAL = 50
+POLL_INTERVAL_S = 0.5
+POLLERS_PER_DOMAIN = 2
 PUSH_FANOUT = 5
 READ_LIMIT = 200
 READ_ATTEMPTS = 4
 
 
 class Head(msgspec.Struct, frozen=True):
-    """Row that names the newest version and the newest snapshot."""
+    """Row with the version numbers of the newest revision and snapshot."""
 
     version: int = 0
     snapshot: int = 0
 
 
 class ConfigurationService(Service):
-    """Owner of the configuration chain of this VM.
+    """Maintains this VM's copy of the configuration chain.
 
-    Two VMs of each failure domain poll the head; all others learn of a new version
-    from heartbeats and pull it from a peer that has it.
+    Two VMs of each failure domain poll the head row. The others see a new version
+    in heartbeats and pull it from a peer that has it.
 
     Parameters
     ----------
     kernel : Kernel
-        Registry.
+        Service registry.
     settings : Settings
-        Own name and domain.
+        Name and domain of this VM.
     table : TableService
-        Holds the chain.
+        Stores the chain.
     objects : ObjectStore
-        Holds snapshots.
+        Stores snapshots.
     reactor : object
         Clock.
     """
@@ -106,16 +106,16 @@
 
     @property
     def fleet(self) -> Fleet:
-        """Configuration in force at this VM."""
+        """Current configuration of this VM."""
         return self.chain.fleet
 
     async def start(self) -> None:
-        """Start to poll and to listen for newer versions of peers."""
+        """Start polling and subscribe to heartbeats that announce newer versions."""
         self._membership.on_heartbeats.append(self._pull_from_newest)
-        self._loop.start(POLL_S)
+        self._loop.start(POLL_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Stop to poll."""
+        """Stop polling."""
         if self._loop.running:
             self._loop.stop()
 
@@ -123,13 +123,13 @@
         """Answer pulls and apply pushes."""
         match message:
             case PullConfiguration(version):
-                self._push_to(reply_to, version)
+                self._push_revisions(reply_to, version)
             case PushConfiguration(revisions, snapshot):
-                before = self.chain.version
+                previous_version = self.chain.version
                 if snapshot is not None:
                     self.chain.install_snapshot(snapshot)
                 self._extend(revisions)
-                self._notify(before)
+                self._notify(previous_version)
 
     async def change(
         self,
@@ -144,9 +144,9 @@
         Parameters
         ----------
         changes : tuple of Change
-            Applied all or none.
+            Applied atomically.
         base_version : int or None
-            Version on which the operator decided; None takes the head.
+            Version that the change is based on; None takes the newest.
         operation_id : str
             Unique id; a repeat returns the version of the first run.
         author : str
@@ -155,16 +155,16 @@
         Returns
         -------
         int
-            Version that holds the change.
+            Version that contains the change.
 
         Raises
         ------
         ConfigurationConflict
-            If another change took the version.
+            If another change was committed first.
         ConfigurationError
             If the change is not valid or its outcome is unknown.
         """
-        base = await self._base(base_version, operation_id)
+        base = await self._resolve_base(base_version, operation_id)
         if isinstance(base, int):
             return base
         operation = ChangeOperation(
@@ -177,8 +177,10 @@
         await self._write_snapshot(action.version)
         return action.version
 
-    async def _base(self, base_version: int | None, operation_id: str) -> Fleet | int:
-        await self._refresh_patiently()
+    async def _resolve_base(
+        self, base_version: int | None, operation_id: str
+    ) -> Fleet | int:
+        await self._refresh_with_retries()
         for revision in (
             self.chain.revisions_after(max(0, self.chain.version - 200)) or []
         ):
@@ -188,7 +190,7 @@
             return self.fleet
         return await self._fleet_at(base_version)
 
-    async def _refresh_patiently(self) -> None:
+    async def _refresh_with_retries(self) -> None:
         for attempt in range(READ_ATTEMPTS):
             try:
                 await self._refresh()
@@ -197,19 +199,19 @@
                     continue
                 raise ConfigurationError(
                     "The platform's store does not answer; nothing was changed. "
-                    "Repeat later with the same operation id."
+                    "Retry later with the same operation id."
                 ) from error
             return
 
     async def _fleet_at(self, version: int) -> Fleet:
-        older = ConfigurationChain()
+        rebuilt_chain = ConfigurationChain()
         rows = await self._read_revisions(0)
-        older.extend(row for row in rows if row.version <= version)
-        if older.version != version:
+        rebuilt_chain.extend(row for row in rows if row.version <= version)
+        if rebuilt_chain.version != version:
             raise ConfigurationError(
-                f"Version {version} is not in the chain; read the configuration again."
+                f"Version {version} is not in the chain; reload the configuration."
             )
-        return older.fleet
+        return rebuilt_chain.fleet
 
     async def _perform(
         self, action: OperationAction, operation: ChangeOperation
@@ -238,13 +240,16 @@
         result = await self._table.transact(
             Transact(
                 conditions=[Condition(HEAD_KEY, head_revision), Condition(key, 0)],
-                puts=[Put(HEAD_KEY, _text(new_head)), Put(key, _text(revision))],
+                puts=[
+                    Put(HEAD_KEY, _encode_text(new_head)),
+                    Put(key, _encode_text(revision)),
+                ],
             )
         )
         return result.applied
 
     async def _write_snapshot(self, version: int) -> None:
-        if version % SNAPSHOT_EVERY or self.chain.version != version:
+        if version % SNAPSHOT_INTERVAL or self.chain.version != version:
             return
         try:
             name = f"{SNAPSHOT_PREFIX}{version}"
@@ -255,7 +260,7 @@
             await self._table.transact(
                 Transact(
                     conditions=[Condition(HEAD_KEY, row.revision)],
-                    puts=[Put(HEAD_KEY, _text(Head(head.version, version)))],
+                    puts=[Put(HEAD_KEY, _encode_text(Head(head.version, version)))],
                 )
             )
         except StoreUnavailable:
@@ -270,7 +275,7 @@
 
     def _poll(self) -> Deferred[None] | None:
         rank = self._membership.rank("configuration", self._settings.domain)
-        if self.chain.version and rank >= POLLERS:
+        if self.chain.version and rank >= POLLERS_PER_DOMAIN:
             return None
         return Deferred.fromCoroutine(self._poll_store())
 
@@ -285,13 +290,13 @@
         if not answer.rows:
             return
         head = msgspec.json.decode(answer.rows[0].value, type=Head)
-        before = self.chain.version
+        previous_version = self.chain.version
         if head.snapshot > self.chain.version:
             await self._install_snapshot(head.snapshot)
         while self.chain.version < head.version:
             if not self._extend(await self._read_revisions(self.chain.version)):
                 break
-        self._notify(before)
+        self._notify(previous_version)
 
     async def _install_snapshot(self, version: int) -> None:
         document = await self._objects.get(f"{SNAPSHOT_PREFIX}{version}")
@@ -305,20 +310,20 @@
             log_state(self._settings.vm, "revision_rejected", error=str(error))
             return 0
 
-    def _notify(self, before: int) -> None:
+    def _notify(self, previous_version: int) -> None:
         version = self.chain.version
-        if version == before:
+        if version == previous_version:
             return
         self._metrics.version.set(version)
         self._membership.announce(version=version)
         log_state(self._settings.vm, "configuration_in_force", version=version)
         for callback in self.on_change:
             callback(self.fleet)
-        for partner in self._membership.table.partners(PUSH_FANOUT):
-            self._push_to(partner.peer_address, before)
+        for member in self._membership.table.partners(PUSH_FANOUT):
+            self._push_revisions(member.peer_address, previous_version)
         self._membership.announce_now(PUSH_FANOUT)
 
-    def _push_to(self, address: str, version: int) -> None:
+    def _push_revisions(self, address: str, version: int) -> None:
         revisions = self.chain.revisions_after(version)
         if revisions is None:
             message = PushConfiguration(snapshot=self.fleet)
@@ -329,7 +334,9 @@
         self._peers.send(address, message)
 
     def _pull_from_newest(self) -> None:
-        newest = max(self._membership.table.alive(), key=lambda beat: beat.version)
+        newest = max(
+            self._membership.table.alive(), key=lambda heartbeat: heartbeat.version
+        )
         if newest.version > self.chain.version:
             self._peers.send(newest.peer_address, PullConfiguration(self.chain.version))
 
@@ -338,5 +345,5 @@
     return f"{REVISION_PREFIX}{version:012d}"
 
 
-def _text(value: object) -> str:
+def _encode_text(value: object) -> str:
     return msgspec.json.encode(value).decode()
