--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/team_admission.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/team_admission.py
@@ -1,4 +1,4 @@
-"""Tokens of one team at this VM, and the requests that wait for them."""
+"""Rate tokens of one team at this VM and the requests that wait for them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(eq=False, slots=True)
 class Waiter:
-    """A request that waits for tokens."""
+    """Request that waits for tokens."""
 
     cost: float
     deadline: float
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class TeamAdmission:
-    """Tokens and waiting requests of one team at this VM."""
+    """Token cache and queue of waiting requests of one team at this VM."""
 
     cache: TokenCache = field(default_factory=TokenCache)
     waiters: deque[Waiter] = field(default_factory=deque)
@@ -37,32 +37,32 @@
 
     @property
     def waiting_cost(self) -> float:
-        """Tokens for which requests wait."""
+        """Number of tokens that the waiting requests need."""
         return sum(waiter.cost for waiter in self.waiters)
 
     def is_asking(self, holder: str, now: float) -> bool:
-        """Tell whether an answer of ``holder`` can still be expected."""
+        """Return whether a token request to ``holder`` is pending, not timed out."""
         in_time = now - self.asked_at < ASK_TIMEOUT_S
         return self.asking and in_time and self.asked_vm == holder
 
-    def awaits(self, ask_id: int) -> bool:
-        """Tell whether the answer to this ask still counts."""
+    def is_current_ask(self, ask_id: int) -> bool:
+        """Return whether this token request is the pending one."""
         return self.asking and ask_id == self.ask_id
 
     def note_ask(self, ask_id: int, holder: str, now: float) -> None:
-        """Remember the only ask whose answer counts from now on."""
+        """Record the pending token request; answers to earlier ones are ignored."""
         self.ask_id = ask_id
         self.asked_at = now
         self.asked_vm = holder
         self.asking = True
 
     def serve_waiters(self, now: float) -> None:
-        """Let requests go in order of arrival while there are tokens."""
+        """Admit requests in order of arrival while tokens last; fail expired ones."""
         while self.waiters:
             waiter = self.waiters[0]
             if waiter.deadline <= now:
                 self.waiters.popleft()
-                waiter.turn.errback(_no_ledger())
+                waiter.turn.errback(_create_ledger_timeout())
             elif self.cache.spend(waiter.cost, now):
                 self.waiters.popleft()
                 waiter.turn.callback(None)
@@ -70,20 +70,20 @@
                 return
 
     def refuse_waiters(self, retry_after_s: float) -> int:
-        """Refuse all waiting requests for their rate; returns their number."""
+        """Refuse all waiting requests as above the rate and return their number."""
         refused, self.waiters = self.waiters, deque()
         for waiter in refused:
             waiter.turn.errback(
                 RateExceeded(
-                    "The team is above its rate and burst over the whole fleet.",
+                    "The team is above its rate and burst in the whole fleet.",
                     retry_after_s=retry_after_s,
                 )
             )
         return len(refused)
 
 
-def _no_ledger() -> Overloaded:
+def _create_ledger_timeout() -> Overloaded:
     return Overloaded(
-        "The ledger of the team's rate did not answer in time.",
+        "No ledger granted tokens for the team before the deadline.",
         retry_after_s=GRANT_TTL_S,
     )
