--- a/tests/platform_adapter/conftest.py
+++ b/tests/platform_adapter/conftest.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import pytest
-from session_world import SessionWorld
+from local_deployment import LocalDeployment
 
 
 @pytest.fixture
-def session_world(tmp_path):
-    """Stand-ins of the platform, and VMs that a test starts."""
-    world = SessionWorld(tmp_path)
-    yield world
-    world.stop()
+def deployment(tmp_path):
+    """Yield a deployment of stand-ins without VMs; stop everything afterwards."""
+    deployment = LocalDeployment(tmp_path)
+    yield deployment
+    deployment.stop()
--- a/tests/platform_adapter/local_deployment.py
+++ b/tests/platform_adapter/local_deployment.py
@@ -1,4 +1,4 @@
-"""A deployment on loopback addresses: stand-ins, VMs as processes, and callers."""
+"""Deployment on loopback addresses: platform stand-ins, VM processes and callers."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 TEAM = "north-team"
 
 
-def wait_for(condition, what: str, timeout_s: float = WAIT_S):
-    """Return the first true result of a condition."""
-    until = time.monotonic() + timeout_s
-    while time.monotonic() < until:
+def wait_for(condition, description: str, timeout_s: float = WAIT_S):
+    """Poll a condition until its result is true and return the result."""
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
         result = condition()
         if result:
             return result
         time.sleep(0.02)
-    raise AssertionError(f"{what} did not happen within {timeout_s} s")
+    raise AssertionError(f"{description}: did not happen within {timeout_s} s")
 
 
 class Caller:
-    """One session of a caller."""
+    """Session of a caller; each statement gets a unique request ID."""
 
     def __init__(self, address: str, database: str, key: str = KEY) -> None:
         host, _, port = address.rpartition(":")
@@ -53,11 +53,14 @@
         self._socket.sendall(f"{line}\r\n".encode())
 
     def read_line(self) -> str:
-        """Return the next line, empty after the end."""
+        """Return the next line, an empty string after the end of the stream."""
         return self._file.readline().decode().rstrip("\r\n")
 
-    def ask(self, text: str) -> tuple[list[str], str, str]:
-        """Run a statement and return rows, outcome and the ready line."""
+    def execute(self, text: str) -> tuple[list[str], str, str]:
+        """Execute a statement; return its rows, the outcome and the ready line.
+
+        The ready line is empty if the session ended.
+        """
         self._number += 1
         self.last_id = f"{self._name}-{self._number}"
         self.send_line(f"QUERY {self.last_id} {text}")
@@ -74,15 +77,15 @@
             return rows, line, self.read_line()
 
     def close(self) -> None:
-        """Leave."""
+        """Close the connection."""
         self._file.close()
         self._socket.close()
 
 
 class Vm:
-    """One entry VM as a process."""
+    """Process of one entry VM."""
 
-    def __init__(self, world: SessionWorld, name: str) -> None:
+    def __init__(self, deployment: LocalDeployment, name: str) -> None:
         self.name = name
         self.front = f"127.0.0.1:{free_port()}"
         self.ready = f"127.0.0.1:{free_port()}"
@@ -96,13 +99,13 @@
             "InternalPorts": [peer_port, self.metrics_port],
             "Limits": {"MaxFds": 1000},
             "Bounds": {"GraceS": 6, "QuotaWindowS": 5, "QuotaSlack": 20},
-            "platform": {"Address": world.store.address},
-            "CloudApi": {"Address": world.store.address},
+            "platform": {"Address": deployment.store.address},
+            "CloudApi": {"Address": deployment.store.address},
         }
-        path = world.folder / f"{name}.yaml"
-        # The settings are YAML; JSON is a part of it.
+        path = deployment.folder / f"{name}.yaml"
+        # The settings file is YAML, of which JSON is a subset.
         path.write_text(json.dumps(settings))
-        self.log = world.folder / f"{name}.log"
+        self.log = deployment.folder / f"{name}.log"
         with self.log.open("wb") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "guavabarrow_platform"],
@@ -112,11 +115,11 @@
             )
 
     def readiness(self) -> int:
-        """Return the status of the balancer's question, 0 without an answer."""
+        """Return the status of the readiness check, 0 if there is no response."""
         url = f"http://{self.ready}/guavabarrow/ready"
         try:
-            with urllib.request.urlopen(url, timeout=2) as answer:
-                return answer.status
+            with urllib.request.urlopen(url, timeout=2) as response:
+                return response.status
         except urllib.error.HTTPError as error:
             return error.code
         except OSError:
@@ -125,24 +128,24 @@
     def metrics(self) -> str:
         """Return the metrics as text."""
         url = f"http://127.0.0.1:{self.metrics_port}/metrics"
-        with urllib.request.urlopen(url, timeout=2) as answer:
-            return answer.read().decode()
+        with urllib.request.urlopen(url, timeout=2) as response:
+            return response.read().decode()
 
     def events(self, name: str) -> list[dict]:
-        """Return the log lines of an event."""
+        """Return the logged records of an event."""
         lines = self.log.read_text().splitlines()
-        found = [json.loads(line) for line in lines if line.startswith("{")]
-        return [line for line in found if line["event"] == name]
+        records = [json.loads(line) for line in lines if line.startswith("{")]
+        return [record for record in records if record["event"] == name]
 
     def stop(self) -> None:
-        """Kill the process if it runs."""
+        """Kill the process if it is running."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGKILL)
             self.process.wait()
 
 
-class SessionWorld:
-    """Stand-ins and VMs of one test."""
+class LocalDeployment:
+    """Platform stand-ins and VMs of one test."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -197,15 +200,15 @@
         return vm
 
     def can_write(self, vm: Vm) -> bool:
-        """Tell whether a write succeeds now."""
+        """Return whether a write through the VM succeeds."""
         caller = Caller(vm.front, "primary")
         try:
-            return caller.ask("WRITE probe x")[1].startswith("COMPLETE")
+            return caller.execute("WRITE probe x")[1].startswith("COMPLETE")
         finally:
             caller.close()
 
     def stop(self) -> None:
-        """Stop everything."""
+        """Stop the VMs and the stand-ins."""
         for vm in self.vms:
             vm.stop()
         self.group.close()
--- a/tests/platform_adapter/standin_platform.py
+++ b/tests/platform_adapter/standin_platform.py
@@ -1,7 +1,7 @@
-"""Small stand-ins of the platform: its store, its promotion call and its databases.
+"""Stand-ins for the platform: its store, its promotion call and its databases.
 
-They run in threads of the test process and speak the published protocol, no more of it
-than the tests need. Databases record what they ran, which is what the tests judge.
+They run in threads of the test process and implement the part of the published protocol
+that the tests need. Databases record the statements they ran for the tests to check.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 
 def free_port() -> int:
-    """Return a TCP port of the loopback address that nothing uses."""
+    """Return an unused TCP port of the loopback address."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
 
 
 class StandInStore:
-    """Rows with versions, conditional writes and a feed."""
+    """Store of versioned rows with conditional writes and a feed of changes."""
 
     def __init__(self) -> None:
         self.is_down = False
-        self.loses_answers_of_writes = 0
+        self.write_responses_to_drop = 0
         self.calls: list[str] = []
         self._rows: dict[tuple[str, str], tuple[bytes | None, int]] = {}
         self._version = 0
@@ -40,7 +40,7 @@
         self.promotions: list[tuple[str, str, str, int]] = []
 
     def put(self, table: str, key: str, value: object) -> None:
-        """Write a row as the operator or a database would."""
+        """Write a row, as an operator or a database would."""
         with self._changed:
             self._version += 1
             data = json.dumps(value).encode()
@@ -48,7 +48,7 @@
             self._changed.notify_all()
 
     def remove(self, table: str, key: str) -> None:
-        """Drop a row."""
+        """Remove a row."""
         with self._changed:
             self._version += 1
             self._rows[(table, key)] = (None, self._version)
@@ -70,7 +70,7 @@
             case "/guavabarrow/rows-tx":
                 return self._transact(json.loads(request.body))
             case "/guavabarrow/rows-get":
-                rows = self._select(query["Table"], 0, with_dropped=False)
+                rows = self._select(query["Table"], 0, with_tombstones=False)
                 return 200, {"rows": rows, "HasMore": False, **self._clock()}
             case "/guavabarrow/rows-feed":
                 return self._feed(query)
@@ -81,8 +81,8 @@
         holder = request.headers["Guavabarrow-Lease-Holder"]
         token = int(request.headers["Guavabarrow-Fencing-Token"])
         self.promotions.append((body["Service"], body["Id"], holder, token))
-        is_done = self.promote(body["Service"], body["Id"])
-        return (200 if is_done else 409), {}
+        accepted = self.promote(body["Service"], body["Id"])
+        return (200 if accepted else 409), {}
 
     def _transact(self, body: dict) -> tuple[int, dict]:
         with self._changed:
@@ -95,26 +95,26 @@
             for put in body["Puts"]:
                 data = base64.b64decode(put["Value"])
                 self._rows[(put["Table"], put["Key"])] = (data, self._version)
-            for drop in body["Remove"]:
-                self._rows[(drop["Table"], drop["Key"])] = (None, self._version)
+            for removal in body["Remove"]:
+                self._rows[(removal["Table"], removal["Key"])] = (None, self._version)
             self._changed.notify_all()
-        if self.loses_answers_of_writes > 0:
-            self.loses_answers_of_writes -= 1
-            raise ConnectionAbortedError("The answer is lost.")
+        if self.write_responses_to_drop > 0:
+            self.write_responses_to_drop -= 1
+            raise ConnectionAbortedError("the response is dropped")
         return 200, self._clock()
 
     def _feed(self, query: dict[str, str]) -> tuple[int, dict]:
         after = int(query["after"])
-        until = time.monotonic() + int(query["WaitMs"]) / 1000
+        deadline = time.monotonic() + int(query["WaitMs"]) / 1000
         with self._changed:
             while True:
-                rows = self._select(query["Table"], after, with_dropped=True)
-                remaining = until - time.monotonic()
+                rows = self._select(query["Table"], after, with_tombstones=True)
+                remaining = deadline - time.monotonic()
                 if rows or remaining <= 0:
                     return 200, {"rows": rows, **self._clock()}
                 self._changed.wait(remaining)
 
-    def _select(self, table: str, after: int, *, with_dropped: bool) -> list[dict]:
+    def _select(self, table: str, after: int, *, with_tombstones: bool) -> list[dict]:
         rows = []
         for (name, key), (value, version) in sorted(self._rows.items()):
             if name != table or version <= after:
@@ -122,7 +122,7 @@
             row = {"Table": table, "part": "", "Key": key, "Ver": version}
             if value is not None:
                 rows.append({**row, "Value": base64.b64encode(value).decode()})
-            elif with_dropped:
+            elif with_tombstones:
                 rows.append({**row, "Tombstone": True})
         return rows
 
@@ -131,8 +131,8 @@
 
 
 @dataclass(frozen=True)
-class RanStatement:
-    """A statement that a database ran."""
+class ExecutedStatement:
+    """A statement that a database executed."""
 
     target_id: str
     connection: int
@@ -146,7 +146,7 @@
 
 @dataclass
 class StandInDatabase:
-    """One database of a group."""
+    """A database of a group."""
 
     group: StandInGroup
     target_id: str
@@ -154,9 +154,9 @@
     term: int = 1
     log: list[tuple[int, str, str]] = field(default_factory=list)
     is_running: bool = True
-    loses_next_answer: bool = False
-    silent_before: float = 0.0
-    """Connections opened before this moment get no more answers."""
+    drops_next_response: bool = False
+    unresponsive_before: float = 0.0
+    """Connections opened before this monotonic time in s receive no responses."""
 
     def __post_init__(self) -> None:
         self.connections: set[socket.socket] = set()
@@ -180,12 +180,12 @@
 
     @property
     def position(self) -> str:
-        """End of the log."""
+        """Position of the end of the log as ``TERM.INDEX``."""
         last_term = self.log[-1][0] if self.log else 1
         return f"{last_term}.{len(self.log)}"
 
     def crash(self) -> None:
-        """End the process: connections are reset, nothing listens."""
+        """Simulate a crash: stop listening and shut down all connections."""
         self.is_running = False
         self._server.shutdown()
         self._server.server_close()
@@ -196,7 +196,7 @@
                 pass
 
     def read(self, item: str) -> str:
-        """Return the newest data of an item."""
+        """Return the latest committed data of an item, ``none`` if there is none."""
         for _, name, data in reversed(self.log):
             if name == item:
                 return data
@@ -204,7 +204,7 @@
 
 
 class StandInGroup:
-    """A service: databases that replicate one log without delay.
+    """A service: databases that replicate one log synchronously.
 
     Parameters
     ----------
@@ -212,14 +212,16 @@
         Store in which the databases register themselves.
     name : str
         Name of the service.
+    size : int
+        Number of databases; the first one starts as primary.
     """
 
     def __init__(self, store: StandInStore, name: str, size: int = 3) -> None:
         self.name = name
         self.lock = threading.RLock()
-        self.ran: list[RanStatement] = []
-        self.promotes_after_s = 0.0
-        self.ships = True
+        self.ran: list[ExecutedStatement] = []
+        self.promotion_delay_s = 0.0
+        self.replicates = True
         self.databases = [
             StandInDatabase(self, f"i-{name}-{number}", number == 0)
             for number in range(size)
@@ -231,11 +233,11 @@
 
     @property
     def primary(self) -> StandInDatabase:
-        """The database that leads."""
+        """The running database that is primary."""
         return next(d for d in self.databases if d.is_primary and d.is_running)
 
     def register(self, database: StandInDatabase, state: str = "ready") -> None:
-        """Write the database's entry."""
+        """Write the database's entry to the store."""
         role = "primary" if database.is_primary else "replica"
         entry = {
             "Service": self.name,
@@ -252,15 +254,18 @@
         self._store.put("servers", database.target_id, entry)
 
     def promote(self, service: str, target_id: str) -> bool:
-        """Let a database lead the next term."""
+        """Make a database primary of the next term after ``promotion_delay_s``.
+
+        Returns False if it is not running or belongs to another service.
+        """
         chosen = next(d for d in self.databases if d.target_id == target_id)
         if service != self.name or not chosen.is_running:
             return False
-        # The platform answers before the promotion takes effect.
-        threading.Timer(self.promotes_after_s, self._lead, (chosen,)).start()
+        # As on the platform, the response precedes the effect of the promotion.
+        threading.Timer(self.promotion_delay_s, self._make_primary, (chosen,)).start()
         return True
 
-    def _lead(self, chosen: StandInDatabase) -> None:
+    def _make_primary(self, chosen: StandInDatabase) -> None:
         with self.lock:
             if not chosen.is_primary:
                 chosen.term = max(d.term for d in self.databases) + 1
@@ -270,10 +275,10 @@
                     database.log = list(chosen.log)
 
     def append(self, database: StandInDatabase, writes: list[tuple[str, str]]) -> None:
-        """Commit writes at the primary and ship them."""
+        """Commit writes at the primary and replicate them, if ``replicates`` is set."""
         for item, data in writes:
             database.log.append((database.term, item, data))
-        if not self.ships:
+        if not self.replicates:
             return
         for other in self.databases:
             if other.is_running and other is not database:
@@ -296,14 +301,14 @@
         self._values: dict[str, str] = {}
         self._shapes: dict[str, str] = {}
         self._state = "I"
-        self._is_plain = False
+        self._is_read_write = False
         self._writes: list[tuple[str, str]] = []
         self._opened_at = time.monotonic()
 
     def run(self) -> None:
-        """Answer messages until the peer leaves."""
+        """Respond to messages until the peer disconnects."""
         for raw in self._handler.rfile:
-            if self._opened_at < self._database.silent_before:
+            if self._opened_at < self._database.unresponsive_before:
                 continue
             word, _, rest = raw.decode().rstrip("\r\n").partition(" ")
             if word == "TERMINATE" or not self._database.is_running:
@@ -317,8 +322,8 @@
                 rows, outcome = self._query(request_id, text)
                 if outcome.startswith("ERROR") and self._state == "T":
                     self._state = "E"
-            if self._database.loses_next_answer and request_id != "-":
-                self._database.loses_next_answer = False
+            if self._database.drops_next_response and request_id != "-":
+                self._database.drops_next_response = False
                 return
             self._send([*(f"DATAROW {row}" for row in rows), outcome, self._ready()])
 
@@ -336,8 +341,8 @@
         database = self._database
         word, _, rest = text.partition(" ")
         if word == "AFTER":
-            wanted, _, text = rest.partition(" ")
-            if _ordinal(wanted) > _ordinal(database.position):
+            required, _, text = rest.partition(" ")
+            if _position_key(required) > _position_key(database.position):
                 return [], "ERROR LAGGING behind"
             word, _, rest = text.partition(" ")
         name, _, argument = rest.partition(" ")
@@ -356,17 +361,17 @@
             case "PREPARE":
                 self._shapes[name] = argument
             case "BEGIN":
-                return self._begin(is_plain=rest != "READ")
+                return self._begin(is_read_write=rest != "READ")
             case "ROLLBACK":
                 self._end()
             case _:
                 return self._run(request_id, word, name, argument, text)
         return [], "COMPLETE -"
 
-    def _begin(self, *, is_plain: bool) -> tuple[list[str], str]:
-        if is_plain and not self._database.is_primary:
+    def _begin(self, *, is_read_write: bool) -> tuple[list[str], str]:
+        if is_read_write and not self._database.is_primary:
             return [], "ERROR READONLY replica"
-        self._state, self._is_plain = "T", is_plain
+        self._state, self._is_read_write = "T", is_read_write
         return [], "COMPLETE -"
 
     def _run(
@@ -377,7 +382,7 @@
             self._end()
             return [], "ERROR ABORTED failed before"
         database.group.ran.append(
-            RanStatement(
+            ExecutedStatement(
                 database.target_id,
                 id(self),
                 request_id,
@@ -393,7 +398,7 @@
             writes = self._writes
             self._end()
             if writes and not database.is_primary:
-                return [], "ERROR READONLY lost the lead"
+                return [], "ERROR READONLY no longer primary"
             database.group.append(database, writes)
             return [], signature
         if word == "EXECUTE":
@@ -427,7 +432,7 @@
         self._handler.wfile.write("".join(f"{line}\r\n" for line in lines).encode())
 
 
-def _ordinal(position: str) -> tuple[int, int]:
+def _position_key(position: str) -> tuple[int, int]:
     term, _, index = position.partition(".")
     return int(term), int(index)
 
@@ -444,7 +449,7 @@
         class Handler(BaseHTTPRequestHandler):
             protocol_version = "HTTP/1.1"
 
-            def _answer(self) -> None:
+            def _respond(self) -> None:
                 length = int(self.headers.get("Content-Length") or 0)
                 body = self.rfile.read(length)
                 request = _HttpRequest(self.path, dict(self.headers), body)
@@ -459,7 +464,7 @@
                 self.end_headers()
                 self.wfile.write(data)
 
-            do_GET = do_POST = _answer  # noqa: N815
+            do_GET = do_POST = _respond  # noqa: N815
 
             def log_message(self, *arguments: object) -> None:
                 pass
--- a/tests/platform_adapter/test_session_fleet.py
+++ b/tests/platform_adapter/test_session_fleet.py
@@ -1,4 +1,4 @@
-"""What operators and targets ask for, and the loss of all VMs, on real processes."""
+"""Evacuation, draining, replacement of primaries and loss of all VMs, on processes."""
 
 from __future__ import annotations
 
@@ -6,125 +6,130 @@
 import time
 
 import pytest
-from session_world import SERVICE, Caller, wait_for
+from local_deployment import SERVICE, Caller, wait_for
 
 pytestmark = pytest.mark.processes
 
 EVACUATION_LIMIT_S = 5.0
 DRAIN_LIMIT_S = 7.0
 RECOVERY_LIMIT_S = 12.0
-"""Limits of the users' pages."""
+"""Limits stated in the user documentation, in s."""
 
-STILL_RIGHT_S = 3.0
-"""A VM that stands still is waited for at least this long: its right lasts 6 s from the
-last time at which it knew the shared table, which may be 2.6 s old."""
+MIN_REPLACEMENT_WAIT_S = 3.0
+"""Minimum time before the primary of a frozen VM is replaced: the VM's lease lasts 6 s
+from its last valid reading of the shared table, which may be 2.6 s old."""
 
 PAUSE_S = 0.005
-"""Keeps one caller below its team's rate."""
+"""Pause between statements in s; keeps one caller below its team's rate."""
 
 
-def test_an_evacuated_domain_gets_nothing_until_it_is_taken_back(session_world):
-    vm = session_world.start_vm("vm-1")
-    session_world.store.put("op", "evacuate/north", {})
+def test_an_evacuated_domain_receives_no_statements_until_the_evacuation_ends(
+    deployment,
+):
+    vm = deployment.start_vm("vm-1")
+    deployment.store.put("op", "evacuate/north", {})
     time.sleep(EVACUATION_LIMIT_S)
-    ran = len(session_world.group.ran)
+    ran = len(deployment.group.ran)
     caller = Caller(vm.front, "read-your-writes")
     for _ in range(5):
-        assert caller.ask("READ a1")[1].startswith("ERROR BUSY")
-        assert caller.ask("WRITE a1 x")[1].startswith("ERROR BUSY")
-    assert len(session_world.group.ran) == ran
-    session_world.store.remove("op", "evacuate/north")
-    wait_for(lambda: session_world.can_write(vm), "writes work again")
+        assert caller.execute("READ a1")[1].startswith("ERROR BUSY")
+        assert caller.execute("WRITE a1 x")[1].startswith("ERROR BUSY")
+    assert len(deployment.group.ran) == ran
+    deployment.store.remove("op", "evacuate/north")
+    wait_for(lambda: deployment.can_write(vm), "writes work again")
 
 
-def test_a_draining_primary_is_replaced_without_a_write_in_doubt(session_world):
-    vm = session_world.start_vm("vm-1")
-    group = session_world.group
+def test_a_draining_primary_is_replaced_without_a_write_in_doubt(deployment):
+    vm = deployment.start_vm("vm-1")
+    group = deployment.group
     old = group.primary
     caller = Caller(vm.front, "read-your-writes")
     group.register(old, state="draining")
-    until = time.monotonic() + DRAIN_LIMIT_S
-    number, kept = 0, []
-    while group.primary is old and time.monotonic() < until:
+    deadline = time.monotonic() + DRAIN_LIMIT_S
+    number, acknowledged = 0, []
+    while group.primary is old and time.monotonic() < deadline:
         number += 1
-        outcome = caller.ask(f"WRITE d{number} data{number}")[1]
+        outcome = caller.execute(f"WRITE d{number} data{number}")[1]
         assert not outcome.startswith("ERROR INDOUBT")
         if outcome.startswith("COMPLETE"):
-            kept.append(number)
+            acknowledged.append(number)
         time.sleep(PAUSE_S)
     assert group.primary is not old
-    wait_for(lambda: session_world.can_write(vm), "writes work at the new primary")
-    assert kept
-    for number in kept:
+    wait_for(lambda: deployment.can_write(vm), "writes work at the new primary")
+    assert acknowledged
+    for number in acknowledged:
         time.sleep(PAUSE_S)
-        rows, outcome, _ = caller.ask(f"READ d{number}")
+        rows, outcome, _ = caller.execute(f"READ d{number}")
         assert (rows, outcome[:8]) == ([f"data{number}"], "COMPLETE")
     ran = len(group.ran)
-    caller.ask("WRITE after drain")
+    caller.execute("WRITE after drain")
     assert all(s.target_id != old.target_id for s in group.ran[ran:])
 
 
-def test_a_draining_replica_gets_no_reads(session_world):
-    vm = session_world.start_vm("vm-1")
-    group = session_world.group
+def test_a_draining_replica_gets_no_reads(deployment):
+    vm = deployment.start_vm("vm-1")
+    group = deployment.group
     replica = next(d for d in group.databases if not d.is_primary)
     group.register(replica, state="draining")
     wait_for(
         lambda: any(line["draining"] for line in vm.events("target_entry")),
-        "the entry is known",
+        "the VM reads the draining entry",
         timeout_s=DRAIN_LIMIT_S,
     )
     ran = len(group.ran)
     caller = Caller(vm.front, "bounded-staleness")
     for _ in range(30):
-        assert caller.ask("READ a1")[1].startswith("COMPLETE")
+        assert caller.execute("READ a1")[1].startswith("COMPLETE")
     assert all(s.target_id != replica.target_id for s in group.ran[ran:])
 
 
-def test_callers_are_served_soon_after_the_loss_of_all_vms(session_world):
-    first = [session_world.start_vm(f"vm-{number}") for number in (1, 2)]
-    Caller(first[0].front, "read-your-writes").ask("WRITE kept data")
+def test_callers_are_served_soon_after_the_loss_of_all_vms(deployment):
+    first = [deployment.start_vm(f"vm-{number}") for number in (1, 2)]
+    Caller(first[0].front, "read-your-writes").execute("WRITE kept data")
     lost_at = time.monotonic()
     for vm in first:
         vm.stop()
-    again = [session_world.start_vm(f"vm-{number}") for number in (1, 2)]
+    restarted = [deployment.start_vm(f"vm-{number}") for number in (1, 2)]
     assert time.monotonic() - lost_at < RECOVERY_LIMIT_S
-    assert Caller(again[1].front, "primary").ask("READ kept")[0] == ["data"]
-    assert session_world.store.promotions == []
+    assert Caller(restarted[1].front, "primary").execute("READ kept")[0] == ["data"]
+    assert deployment.store.promotions == []
 
 
-def test_fencing_tokens_rise_over_the_loss_of_all_vms(session_world):
+def test_fencing_tokens_increase_across_the_loss_of_all_vms(deployment):
     tokens = []
     for _ in range(2):
-        vm = session_world.start_vm("vm-1")
-        old = session_world.group.primary
-        session_world.store.promotions.clear()
-        session_world.group.register(old, state="draining")
-        wait_for(lambda: session_world.store.promotions, "a promotion is ordered")
-        wait_for(lambda vm=vm: session_world.can_write(vm), "writes work again")
-        session_world.group.register(old)
-        tokens += [order[3] for order in session_world.store.promotions]
-        assert {order[0] for order in session_world.store.promotions} == {SERVICE}
+        vm = deployment.start_vm("vm-1")
+        old = deployment.group.primary
+        deployment.store.promotions.clear()
+        deployment.group.register(old, state="draining")
+        wait_for(lambda: deployment.store.promotions, "a promotion is requested")
+        wait_for(lambda vm=vm: deployment.can_write(vm), "writes work again")
+        deployment.group.register(old)
+        tokens += [order[3] for order in deployment.store.promotions]
+        assert {order[0] for order in deployment.store.promotions} == {SERVICE}
         vm.stop()
     assert tokens == sorted(set(tokens))
     assert len(tokens) >= 2
 
 
-def test_a_vm_starts_although_the_store_loses_answers_of_its_writes(session_world):
-    """Registration, duty and primary are written, and no answer says so."""
-    session_world.store.loses_answers_of_writes = 3
-    vm = session_world.start_vm("vm-1")
-    assert session_world.store.loses_answers_of_writes == 0
+def test_a_vm_starts_although_responses_to_its_writes_are_lost(deployment):
+    """The rows of registration, duty and primary are written, the responses lost."""
+    deployment.store.write_responses_to_drop = 3
+    vm = deployment.start_vm("vm-1")
+    assert deployment.store.write_responses_to_drop == 0
     assert len(vm.events("duty_taken")) <= 1
 
 
-def test_a_frozen_vm_that_wakes_uses_no_primary_that_was_replaced(session_world):
-    """The others wait until its right has lapsed; then they replace the primary."""
-    frozen, second = (session_world.start_vm(f"vm-{number}") for number in (1, 2))
-    group = session_world.group
+def test_a_resumed_vm_does_not_use_a_replaced_primary(deployment):
+    """A frozen VM's lease must have expired before others replace its primary.
+
+    Otherwise its sessions could read stale data from the replaced primary on resume.
+    """
+    frozen, other = (deployment.start_vm(f"vm-{number}") for number in (1, 2))
+    group = deployment.group
     callers = [Caller(frozen.front, "primary") for _ in range(4)]
     for caller in callers:
-        caller.ask("READ a1")
+        caller.execute("READ a1")
     frozen.process.send_signal(signal.SIGSTOP)
     try:
         old = group.primary
@@ -132,10 +137,10 @@
         group.register(old, state="draining")
         wait_for(lambda: group.primary is not old, "the primary is replaced")
         waited_s = time.monotonic() - frozen_at
-        wait_for(lambda: session_world.can_write(second), "writes work again")
+        wait_for(lambda: deployment.can_write(other), "writes work again")
         assert (
-            Caller(second.front, "primary")
-            .ask("WRITE a1 new")[1]
+            Caller(other.front, "primary")
+            .execute("WRITE a1 new")[1]
             .startswith("COMPLETE")
         )
         ran = len(group.ran)
@@ -147,4 +152,4 @@
     assert all(line.startswith(("DATAROW new", "ERROR")) for line in first_lines)
     late = [s for s in group.ran[ran:] if s.request_id == "late"]
     assert all(statement.at_primary for statement in late)
-    assert waited_s > STILL_RIGHT_S
+    assert waited_s > MIN_REPLACEMENT_WAIT_S
--- a/tests/platform_adapter/test_settings.py
+++ b/tests/platform_adapter/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Tests of the platform's settings and deploy files."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     "Bounds": {"GraceS": 6, "QuotaOver": 0.1, "QuotaSlack": 20},
     "platform": {"Address": "10.200.1.7:8466", "form": "table"},
     "CloudApi": {"Address": "10.200.0.2:8466"},
-    "FieldOfTomorrow": True,
+    "UnknownField": True,
 }
 
 
-def write(tmp_path, **changes) -> str:
+def write_settings(tmp_path, **changes) -> str:
     path = tmp_path / "local.yaml"
     path.write_text(json.dumps({**SETTINGS, **changes}))
     return str(path)
 
 
-def test_translates_what_the_product_needs_and_ignores_the_rest(tmp_path):
-    settings = load_settings(write(tmp_path))
+def test_translates_known_fields_and_ignores_unknown_ones(tmp_path):
+    settings = load_settings(write_settings(tmp_path))
     assert (settings.vm, settings.domain) == ("vm-1", "north")
     assert settings.front_address == "10.1.0.26:8465"
     assert settings.store_address == "10.200.1.7:8466"
@@ -39,27 +39,27 @@
     assert settings.rate_slack == 20
 
 
-def test_names_every_mistake(tmp_path):
-    path = write(tmp_path, InternalPorts=[], NodeName=3)
+def test_reports_every_mistake(tmp_path):
+    path = write_settings(tmp_path, InternalPorts=[], NodeName=3)
     with pytest.raises(SettingsError) as error:
         load_settings(path)
     assert len(error.value.mistakes) == 2
 
 
 @pytest.mark.parametrize("text", ["[1,", "42", ""])
-def test_refuses_a_file_that_holds_no_settings(tmp_path, text):
+def test_rejects_a_file_without_settings(tmp_path, text):
     path = tmp_path / "local.yaml"
     path.write_text(text)
     with pytest.raises(SettingsError):
         load_settings(str(path))
 
 
-def test_refuses_a_file_that_does_not_exist(tmp_path):
+def test_rejects_a_missing_file(tmp_path):
     with pytest.raises(SettingsError):
         load_settings(str(tmp_path / "missing.yaml"))
 
 
-def test_the_deploy_file_of_the_tree_has_no_mistakes(capsys):
+def test_the_deploy_file_of_the_repository_is_valid(capsys):
     check_deploy("deploy/system.toml")
     assert "no mistakes" in capsys.readouterr().out
 
@@ -73,7 +73,7 @@
         ("build = ", "Invalid value"),
     ],
 )
-def test_a_deploy_file_with_mistakes_is_refused(tmp_path, capsys, text, mistake):
+def test_a_deploy_file_with_mistakes_is_rejected(tmp_path, capsys, text, mistake):
     path = tmp_path / "system.toml"
     path.write_text(text)
     with pytest.raises(SystemExit) as stopped:
@@ -82,7 +82,7 @@
     assert mistake in capsys.readouterr().err
 
 
-def test_a_settings_file_with_mistakes_is_refused(tmp_path, capsys):
+def test_a_settings_file_with_mistakes_is_rejected(tmp_path, capsys):
     path = tmp_path / "settings.yaml"
     path.write_text("NodeName: a")
     with pytest.raises(SystemExit):
--- a/tests/platform_adapter/test_wire.py
+++ b/tests/platform_adapter/test_wire.py
@@ -1,4 +1,4 @@
-"""Line codecs, which take bytes that anybody may send."""
+"""Tests of the line codecs, which must accept arbitrary bytes from the network."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 )
 
 
-def test_front_messages_in_pieces():
+def test_front_messages_split_over_reads():
     codec = LineFrontCodec()
     data = b"STARTUP base key one\r\nQUERY 5c READ 1a4\r\nTERMINATE\r\n"
     messages = [m for byte in data for m in codec.feed(bytes([byte]))]
@@ -38,13 +38,13 @@
 
 
 @given(st.binary(max_size=300))
-def test_front_takes_any_bytes(data):
+def test_front_codec_accepts_any_bytes(data):
     for message in LineFrontCodec().feed(data + b"\r\n"):
         assert message is not None
 
 
 @given(st.binary(max_size=300))
-def test_target_takes_any_bytes(data):
+def test_target_codec_accepts_any_bytes(data):
     for message in LineTargetCodec().feed(data + b"\r\n"):
         assert message is not None
 
@@ -68,7 +68,7 @@
     assert sent == b"QUERY id AFTER 3.1207 WRITE 1a4 data  x\r\n"
 
 
-def test_answers_survive_both_directions():
+def test_answers_round_trip():
     answers = [
         Row("some content"),
         Completed("7.1f3.c"),
