--- a/tests/platform_adapter/test_session_fleet.py
+++ b/tests/platform_adapter/test_session_fleet.py
@@ -13,7 +13,7 @@
 EVACUATION_LIMIT_S = 5.0
 DRAIN_LIMIT_S = 7.0
 RECOVERY_LIMIT_S = 12.0
-"""Limits stated in the user documentation, in s."""
+"""Limits that deployments require, in s."""
 
 MIN_REPLACEMENT_WAIT_S = 3.0
 """Minimum time before the primary of a frozen VM is replaced: the VM's lease lasts 6 s
