--- a/packages/guavabarrow-cli/src/guavabarrow_cli/standins/__init__.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems: databases and platform."""
+"""Stand-ins for external systems: databases, platform and network links."""
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/standins/database_engine.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/standins/database_engine.py
@@ -1,4 +1,4 @@
-"""Storage of the stand-in database: SQLite, a replicated log, terms and outcomes."""
+"""Storage engine of the stand-in database: SQLite, replicated log, terms, outcomes."""
 
 from __future__ import annotations
 
@@ -41,18 +41,18 @@
     PRIMARY KEY (team, request_id));
 """
 RETENTION_MARGIN_S = 3600.0
-PRUNE_EVERY = 1000
+PRUNE_INTERVAL = 1000
 
 
-class EngineProblem(GuavabarrowError):
-    """A request that the database refuses without effect.
+class EngineError(GuavabarrowError):
+    """A request that the database rejects without effect.
 
     Parameters
     ----------
     code : str
         Code of the target protocol.
     detail : str
-        Text for people.
+        Human-readable message.
     """
 
     def __init__(self, code: str, detail: str) -> None:
@@ -62,7 +62,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """Outcome recorded with an effect; a missing result means: must never run."""
+    """Outcome of a request id; without a result the request must never run."""
 
     team: str
     request_id: str
@@ -72,7 +72,7 @@
 
 
 class Payload(msgspec.Struct, frozen=True, array_like=True):
-    """Effect of one committed transaction."""
+    """Statements and outcome of one committed transaction."""
 
     statements: list[tuple[str, list[Any]]] = []
     outcome: Outcome | None = None
@@ -80,38 +80,38 @@
 
 @dataclass
 class OpenTransaction:
-    """Statements of the transaction that holds the writer."""
+    """Statements of the open write transaction."""
 
     statements: list[tuple[str, list[Any]]] = field(default_factory=list)
     last_result: Result | None = None
 
 
 class DatabaseEngine:
-    """One database; all calls are synchronous and short.
+    """One database; every call is synchronous and short.
 
     Parameters
     ----------
     path : Path
-        SQLite file; it survives the end of the process.
+        SQLite file, which persists across restarts of the process.
     """
 
     def __init__(self, path: Path) -> None:
-        self._writer = self._open(path)
+        self._writer = self._connect(path)
         self._writer.executescript(SCHEMA)
-        self._reader = self._open(path)
+        self._reader = self._connect(path)
         self._reader.execute("PRAGMA query_only=ON")
-        self.promised_term = int(self._meta("promised_term", "0"))
-        self.promised_owner = self._meta("promised_owner", "")
+        self.promised_term = int(self._read_meta("promised_term", "0"))
+        self.promised_owner = self._read_meta("promised_owner", "")
         self.is_primary = False
-        self._starts: list[TermStart] = []
+        self._term_starts: list[TermStart] = []
         self._last_index = 0
-        self._commits = 0
+        self._outcome_count = 0
         self._load_lineage()
 
     @property
     def lineage(self) -> Lineage:
-        """Content of the log."""
-        return Lineage(tuple(self._starts), self._last_index)
+        """Terms and last index of the log."""
+        return Lineage(tuple(self._term_starts), self._last_index)
 
     @property
     def last(self) -> LogPosition:
@@ -119,41 +119,43 @@
         return self.lineage.last
 
     def read(self, message: Execute) -> Result:
-        """Run a read on the committed data.
+        """Run a read against the committed data.
 
         Raises
         ------
-        EngineProblem
-            If the log does not satisfy the required position or the SQL fails.
+        EngineError
+            If the log does not satisfy the required position or the statement fails.
         """
         required = LogPosition(message.min_term, message.min_index)
         if not self.lineage.satisfies(required):
-            raise EngineProblem(CODE_BEHIND, "The log has not reached the position.")
+            raise EngineError(
+                CODE_BEHIND, "The log has not reached the required position."
+            )
         try:
             cursor = self._reader.execute(message.sql, message.params)
-            return self._result(cursor, cursor.fetchall())
+            return self._build_result(cursor, cursor.fetchall())
         except sqlite3.OperationalError as error:
             code = CODE_STATEMENT_FAILED
             if "readonly" in str(error):
                 code = CODE_WRITE_IN_READ
-            raise EngineProblem(code, str(error)) from error
+            raise EngineError(code, str(error)) from error
         except sqlite3.Error as error:
-            raise EngineProblem(CODE_STATEMENT_FAILED, str(error)) from error
+            raise EngineError(CODE_STATEMENT_FAILED, str(error)) from error
 
     def check_writable(self, term: int) -> None:
-        """Refuse unless this is the unfenced primary of ``term``."""
+        """Raise unless this database is the unfenced primary of ``term``."""
         if not self.is_primary or term != self.last.term or term != self.promised_term:
-            raise EngineProblem(
-                CODE_NOT_PRIMARY, f"Not the primary of term {term} (any more)."
+            raise EngineError(
+                CODE_NOT_PRIMARY, f"This database is not the primary of term {term}."
             )
 
-    def recorded(self, message: Execute | Commit) -> Result | None:
-        """Return the recorded result of a request id, None if there is none.
+    def recorded_result(self, message: Execute | Commit) -> Result | None:
+        """Return the recorded result of a request id, or None.
 
         Raises
         ------
-        EngineProblem
-            If the id was used with another body or must never run.
+        EngineError
+            If the id was used with a different body or the request must not run.
         """
         if not message.request_id:
             return None
@@ -166,31 +168,35 @@
             return None
         fingerprint, result, _ = row
         if result is None:
-            raise EngineProblem(CODE_MUST_NOT_RUN, "The request was ruled out.")
+            raise EngineError(
+                CODE_MUST_NOT_RUN, "The request is recorded as one that must not run."
+            )
         if fingerprint != message.fingerprint:
-            raise EngineProblem(CODE_ID_REUSED, "The id was used with another body.")
+            raise EngineError(
+                CODE_ID_REUSED, "The request id was used with a different body."
+            )
         decoded = msgspec.json.decode(result, type=Result)
         return msgspec.structs.replace(
             decoded, term=self.last.term, index=self.last.index, replayed=True
         )
 
     def write(self, message: Execute) -> Result:
-        """Run one write in a transaction of its own."""
+        """Run one write in its own transaction."""
         self.check_writable(message.term)
-        known = self.recorded(message)
-        if known is not None:
-            return known
+        previous_result = self.recorded_result(message)
+        if previous_result is not None:
+            return previous_result
         transaction = self.begin(message.term)
         try:
             self.execute(transaction, message)
-        except EngineProblem:
+        except EngineError:
             self.rollback()
             raise
         commit = Commit(message.team, message.request_id, message.fingerprint)
         return self.commit(transaction, commit, message.term)
 
     def begin(self, term: int) -> OpenTransaction:
-        """Open the only write transaction."""
+        """Open a write transaction; only one may be open at a time."""
         self.check_writable(term)
         self._writer.execute("BEGIN IMMEDIATE")
         return OpenTransaction()
@@ -201,24 +207,24 @@
             cursor = self._writer.execute(message.sql, message.params)
             rows = cursor.fetchall()
         except sqlite3.Error as error:
-            raise EngineProblem(CODE_STATEMENT_FAILED, str(error)) from error
+            raise EngineError(CODE_STATEMENT_FAILED, str(error)) from error
         transaction.statements.append((message.sql, message.params))
-        transaction.last_result = self._result(cursor, rows)
+        transaction.last_result = self._build_result(cursor, rows)
         return transaction.last_result
 
     def commit(
         self, transaction: OpenTransaction, message: Commit, term: int
     ) -> Result:
-        """Append the transaction and its outcome to the log and commit."""
+        """Commit a transaction; log it together with its outcome."""
         try:
             self.check_writable(term)
-            known = self.recorded(message)
-        except EngineProblem:
+            previous_result = self.recorded_result(message)
+        except EngineError:
             self.rollback()
             raise
-        if known is not None:
+        if previous_result is not None:
             self.rollback()
-            return known
+            return previous_result
         last_result = transaction.last_result or Result()
         result = msgspec.structs.replace(
             last_result, term=term, index=self._last_index + 1
@@ -233,26 +239,28 @@
                 int(time.time() * 1000),
             )
         payload = Payload(transaction.statements, outcome)
-        self._append(LogEntry(term, result.index, msgspec.msgpack.encode(payload)))
+        self._insert_entry(
+            LogEntry(term, result.index, msgspec.msgpack.encode(payload))
+        )
         self._record_outcome(outcome, result.index)
         self._writer.execute("COMMIT")
-        self._advance(term, result.index)
+        self._advance_lineage(term, result.index)
         return result
 
     def rollback(self) -> None:
-        """End the open transaction without effect."""
+        """Roll back the open transaction, if any."""
         if self._writer.in_transaction:
             self._writer.execute("ROLLBACK")
 
     def resolve(self, message: Resolve) -> Resolved:
-        """Return a recorded outcome, or record that the request must never run."""
+        """Return the recorded outcome, or record that the request must never run."""
         self.check_writable(message.term)
         row = self._writer.execute(
             "SELECT result FROM _gb_outcome WHERE team = ? AND request_id = ?",
             (message.team, message.request_id),
         ).fetchone()
         if row is None:
-            self._rule_out(message)
+            self._record_must_not_run(message)
         result = None
         if row is not None and row[0] is not None:
             decoded = msgspec.json.decode(row[0], type=Result)
@@ -260,17 +268,17 @@
         return Resolved(result, self.last.term, self.last.index)
 
     def fence(self, term: int, owner: str) -> bool:
-        """Promise a term; only a higher one, or the same one to the same owner."""
+        """Promise a higher term, or confirm the same term to the same owner."""
         if term < self.promised_term:
             return False
         if term == self.promised_term:
             return owner == self.promised_owner and not self.is_primary
-        self._promise(term, owner)
+        self._store_promise(term, owner)
         self.is_primary = False
         return True
 
     def promote(self, term: int, owner: str) -> bool:
-        """Become primary of a promised term and write its first entry."""
+        """Become primary of a promised term and append its first entry."""
         if (term, owner) != (self.promised_term, self.promised_owner):
             return False
         if self.is_primary:
@@ -278,34 +286,34 @@
         index = self._last_index + 1
         payload = msgspec.msgpack.encode(Payload())
         self._writer.execute("BEGIN IMMEDIATE")
-        self._append(LogEntry(term, index, payload))
+        self._insert_entry(LogEntry(term, index, payload))
         self._writer.execute("COMMIT")
-        self._advance(term, index)
+        self._advance_lineage(term, index)
         self.is_primary = True
         return True
 
-    def accept_log(self, message: Replicate) -> bool:
-        """Take log from a primary; refuse a lower term than promised.
+    def append_entries(self, message: Replicate) -> bool:
+        """Append entries of a primary; reject terms lower than the promised one.
 
         Returns
         -------
         bool
-            False if the term is too low or the log before the entries differs.
+            False if the term is too low or the log diverges before the entries.
         """
         if message.term < self.promised_term:
             return False
         if message.term > self.promised_term:
-            self._promise(message.term, message.primary)
+            self._store_promise(message.term, message.primary)
         self.is_primary = False
         previous = LogPosition(message.previous_term, message.previous_index)
         if not self.lineage.contains(previous):
             return False
-        entries = [entry for entry in message.entries if not self._holds(entry)]
+        entries = [entry for entry in message.entries if not self._contains(entry)]
         if not entries:
             return True
         if entries[0].index <= self._last_index:
             self._truncate(entries[0].index - 1)
-        self._apply(entries)
+        self._append_and_replay(entries)
         return True
 
     def entries_after(self, index: int, limit: int) -> list[LogEntry]:
@@ -316,40 +324,40 @@
         ).fetchall()
         return [LogEntry(term, idx, payload) for term, idx, payload in rows]
 
-    def term_of(self, index: int) -> int:
+    def term_at(self, index: int) -> int:
         """Return the term of the entry at ``index``, 0 for the empty log."""
         term = 0
-        for start in self._starts:
+        for start in self._term_starts:
             if start.index > index:
                 break
             term = start.term
         return term
 
     def close(self) -> None:
-        """Close the files."""
+        """Close the database file."""
         self._reader.close()
         self._writer.close()
 
-    def _holds(self, entry: LogEntry) -> bool:
+    def _contains(self, entry: LogEntry) -> bool:
         return self.lineage.contains(LogPosition(entry.term, entry.index))
 
-    def _apply(self, entries: list[LogEntry]) -> None:
+    def _append_and_replay(self, entries: list[LogEntry]) -> None:
         self._writer.execute("BEGIN IMMEDIATE")
         for entry in entries:
-            self._append(entry)
-            self._run(entry)
+            self._insert_entry(entry)
+            self._replay_entry(entry)
         self._writer.execute("COMMIT")
         for entry in entries:
-            self._advance(entry.term, entry.index)
+            self._advance_lineage(entry.term, entry.index)
 
-    def _run(self, entry: LogEntry) -> None:
+    def _replay_entry(self, entry: LogEntry) -> None:
         payload = msgspec.msgpack.decode(entry.payload, type=Payload)
         for sql, params in payload.statements:
             self._writer.execute(sql, params)
         self._record_outcome(payload.outcome, entry.index)
 
     def _truncate(self, last_index: int) -> None:
-        """Discard entries that were never acknowledged and rebuild the data."""
+        """Discard later entries, which were never acknowledged, and rebuild the data."""
         self._writer.execute("BEGIN IMMEDIATE")
         self._writer.execute("DELETE FROM _gb_log WHERE idx > ?", (last_index,))
         names = self._writer.execute(
@@ -360,22 +368,22 @@
             self._writer.execute(f'DROP {kind} "{name}"')
         self._writer.execute("DELETE FROM _gb_outcome")
         for entry in self.entries_after(0, last_index):
-            self._run(entry)
+            self._replay_entry(entry)
         self._writer.execute("COMMIT")
         self._load_lineage()
 
-    def _rule_out(self, message: Resolve) -> None:
+    def _record_must_not_run(self, message: Resolve) -> None:
         created_ms = int(time.time() * 1000)
         outcome = Outcome(message.team, message.request_id, "", None, created_ms)
         index = self._last_index + 1
         payload = msgspec.msgpack.encode(Payload([], outcome))
         self._writer.execute("BEGIN IMMEDIATE")
-        self._append(LogEntry(message.term, index, payload))
+        self._insert_entry(LogEntry(message.term, index, payload))
         self._record_outcome(outcome, index)
         self._writer.execute("COMMIT")
-        self._advance(message.term, index)
+        self._advance_lineage(message.term, index)
 
-    def _append(self, entry: LogEntry) -> None:
+    def _insert_entry(self, entry: LogEntry) -> None:
         self._writer.execute(
             "INSERT INTO _gb_log VALUES (?, ?, ?)",
             (entry.index, entry.term, entry.payload),
@@ -395,28 +403,28 @@
                 outcome.created_ms,
             ),
         )
-        self._commits += 1
-        if self._commits % PRUNE_EVERY == 0:
+        self._outcome_count += 1
+        if self._outcome_count % PRUNE_INTERVAL == 0:
             retained_ms = (RETENTION_S + RETENTION_MARGIN_S) * 1000
             self._writer.execute(
                 "DELETE FROM _gb_outcome WHERE created_ms < ?",
                 (int(time.time() * 1000 - retained_ms),),
             )
 
-    def _advance(self, term: int, index: int) -> None:
-        if not self._starts or self._starts[-1].term != term:
-            self._starts.append(TermStart(term, index))
+    def _advance_lineage(self, term: int, index: int) -> None:
+        if not self._term_starts or self._term_starts[-1].term != term:
+            self._term_starts.append(TermStart(term, index))
         self._last_index = index
 
     def _load_lineage(self) -> None:
         rows = self._writer.execute(
             "SELECT term, MIN(idx) FROM _gb_log GROUP BY term ORDER BY term"
         ).fetchall()
-        self._starts = [TermStart(term, index) for term, index in rows]
+        self._term_starts = [TermStart(term, index) for term, index in rows]
         last = self._writer.execute("SELECT MAX(idx) FROM _gb_log").fetchone()[0]
         self._last_index = last or 0
 
-    def _promise(self, term: int, owner: str) -> None:
+    def _store_promise(self, term: int, owner: str) -> None:
         self.promised_term = term
         self.promised_owner = owner
         self.rollback()
@@ -427,13 +435,13 @@
             )
         self._writer.execute("COMMIT")
 
-    def _meta(self, name: str, default: str) -> str:
+    def _read_meta(self, name: str, default: str) -> str:
         row = self._writer.execute(
             "SELECT value FROM _gb_meta WHERE name = ?", (name,)
         ).fetchone()
         return row[0] if row else default
 
-    def _result(self, cursor: sqlite3.Cursor, rows: list[tuple]) -> Result:
+    def _build_result(self, cursor: sqlite3.Cursor, rows: list[tuple]) -> Result:
         columns = [column[0] for column in cursor.description or ()]
         return Result(
             columns=columns,
@@ -444,7 +452,7 @@
         )
 
     @staticmethod
-    def _open(path: Path) -> sqlite3.Connection:
+    def _connect(path: Path) -> sqlite3.Connection:
         connection = sqlite3.connect(path, isolation_level=None)
         connection.execute("PRAGMA journal_mode=WAL")
         connection.execute("PRAGMA synchronous=OFF")
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/standins/database_server.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/standins/database_server.py
@@ -1,4 +1,4 @@
-"""Serves a :class:`DatabaseEngine` over HTTP and ships its log to its peers."""
+"""Serves a :class:`DatabaseEngine` over HTTP and replicates its log to its peers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from guavabarrow_cli.standins.database_engine import (
     DatabaseEngine,
-    EngineProblem,
+    EngineError,
     OpenTransaction,
 )
 from guavabarrow_cli.standins.log_shipper import LogShipper
@@ -52,22 +52,22 @@
 
 
 class Faults(msgspec.Struct):
-    """Behaviour that the admin route can change.
+    """Injected faults and delays, adjustable through the route ``/faults``.
 
     Parameters
     ----------
     lag_ms : float
-        Delay before a committed entry is shipped.
+        Delay before a committed entry is replicated, in ms.
     statement_ms : float
-        Time that each statement occupies a slot.
+        Time for which each statement occupies a slot, in ms.
     connect_ms : float
-        Time that opening a connection takes.
+        Time that it takes to open a connection, in ms.
     lost_answers : int
-        Number of coming writes whose answer is lost after the effect.
+        Number of subsequent writes that take effect but whose response is dropped.
     replication : bool
-        Whether log and heartbeats are shipped at all.
+        Whether log entries and heartbeats are sent to the peers.
     answer_delay_ms : float
-        Delay of every answer after its effect.
+        Delay of every response to a statement or commit, in ms.
     """
 
     lag_ms: float = 0.0
@@ -91,13 +91,13 @@
     peer_by_name : dict of str to (str, int)
         Addresses of the other databases of the group.
     credential : str
-        Credential that entry VMs must present.
+        Credential required from entry VMs.
     max_connections : int
-        Client connections accepted at once.
+        Maximum number of client connections.
     slots : int
-        Statements run at once.
+        Maximum number of concurrent statements.
     faults : Faults
-        Initial behaviour.
+        Initial faults and delays.
     """
 
     name: str
@@ -117,41 +117,45 @@
     is_open: bool = True
     transaction: OpenTransaction | None = None
     term: int = 0
-    used_at: float = 0.0
+    last_used_at: float = 0.0
 
 
 class WriterLock:
-    """Lets one session write at a time, in order of arrival."""
+    """FIFO lock that admits one writing session at a time."""
 
     def __init__(self) -> None:
         self.owner: ClientSession | None = None
         self._waiting: deque[tuple[ClientSession, Deferred[None]]] = deque()
 
     async def acquire(self, session: ClientSession) -> None:
-        """Wait for the lock; raises if the session's connection is lost."""
+        """Wait for the lock; raises SessionClosed if the connection is lost."""
         if self.owner is None:
             self.owner = session
             return
-        turn: Deferred[None] = Deferred()
-        self._waiting.append((session, turn))
-        await turn
+        acquired: Deferred[None] = Deferred()
+        self._waiting.append((session, acquired))
+        await acquired
 
     def release(self, session: ClientSession) -> None:
-        """Hand the lock to the next session whose connection is still open."""
+        """Pass the lock to the next waiting session with an open connection."""
         if self.owner is not session:
             return
         self.owner = None
         while self._waiting:
-            following, turn = self._waiting.popleft()
-            if following.is_open:
-                self.owner = following
-                turn.callback(None)
+            next_session, acquired = self._waiting.popleft()
+            if next_session.is_open:
+                self.owner = next_session
+                acquired.callback(None)
                 return
-            turn.errback(SessionClosed("The connection was lost while waiting."))
+            acquired.errback(
+                SessionClosed(
+                    "The connection was lost while waiting for the writer lock."
+                )
+            )
 
 
 class SessionClosed(GuavabarrowError):
-    """The client disconnected while its statement was waiting."""
+    """The connection was closed before a response could be sent."""
 
 
 class DatabaseServer:
@@ -160,7 +164,7 @@
     Parameters
     ----------
     settings : DatabaseSettings
-        Names, addresses and limits.
+        Settings of the database.
     reactor : IReactorTCP
         Reactor that owns the sockets.
     """
@@ -169,14 +173,14 @@
         self.settings = settings
         self.faults = settings.faults
         self.engine = DatabaseEngine(settings.path)
-        self.recorded: deque[bytes] = deque(maxlen=MAX_RECORDED_REQUESTS)
-        self.max_sessions_seen = 0
+        self.recorded_requests: deque[bytes] = deque(maxlen=MAX_RECORDED_REQUESTS)
+        self.peak_session_count = 0
         self._reactor = reactor
         self._lock = WriterLock()
         self._slots = DeferredSemaphore(settings.slots)
         self._session_by_channel: dict[Any, ClientSession] = {}
         self._watchers: list[Deferred[None]] = []
-        self._heard_at: float | None = None
+        self._last_replicated_at: float | None = None
         self._replication_channel: Any = None
         self._shippers = [
             LogShipper(
@@ -193,12 +197,12 @@
         self._port: Any = None
 
     def listen(self, host: str, port: int) -> int:
-        """Start to serve and to ship.
+        """Start to serve requests and to replicate.
 
         Returns
         -------
         int
-            Port that is listened on.
+            Port on which the server listens.
         """
         self._port = self._reactor.listenTCP(port, self.site, interface=host)
         for shipper in self._shippers:
@@ -206,7 +210,7 @@
         return self._port.getHost().port
 
     async def stop(self) -> None:
-        """Close all connections, as the end of the process would."""
+        """Abort all connections, as the exit of the process would."""
         for shipper in self._shippers:
             shipper.stop()
         stopped = self._port.stopListening()
@@ -230,7 +234,7 @@
             ("/promote", Promote, self._promote),
             ("/replicate", Replicate, self._replicate),
             ("/faults", None, self._set_faults),
-            ("/recorded", None, self._recorded),
+            ("/recorded", None, self._get_recorded),
         ):
             routes.add("POST", path, self._handler(message_type, handler))
         return routes
@@ -247,7 +251,7 @@
                 if message_type is not None:
                     message = msgspec.json.decode(body, type=message_type)
                 reply = await handler(request, message)
-            except EngineProblem as problem:
+            except EngineError as problem:
                 answer_json(request, 409, TargetProblem(problem.code, problem.detail))
             except msgspec.MsgspecError as error:
                 answer_json(request, 400, TargetProblem("bad_request", str(error)))
@@ -263,24 +267,26 @@
             await self._sleep(self.faults.answer_delay_ms)
         answer_json(request, 200, reply)
 
-    def _record(self, request: Request, body: bytes) -> None:
+    def _record_request(self, request: Request, body: bytes) -> None:
         headers = repr(list(request.requestHeaders.getAllRawHeaders())).encode()
-        self.recorded.append(request.path + headers + body)
+        self.recorded_requests.append(request.path + headers + body)
 
     async def _connect(self, request: Request, message: Connect) -> object:
-        self._record(request, msgspec.json.encode(message))
+        self._record_request(request, msgspec.json.encode(message))
         if message.credential != self.settings.credential:
-            raise EngineProblem(CODE_UNAUTHENTICATED, "Unknown credential.")
+            raise EngineError(CODE_UNAUTHENTICATED, "Invalid credential.")
         await self._sleep(self.faults.connect_ms)
         if len(self._session_by_channel) >= self.settings.max_connections:
-            raise EngineProblem(CODE_TOO_MANY_CONNECTIONS, "No connection is left.")
+            raise EngineError(
+                CODE_TOO_MANY_CONNECTIONS, "The connection limit is reached."
+            )
         channel = request.channel
         if channel is None:
-            raise SessionClosed("The client is gone.")
+            raise SessionClosed("The client disconnected.")
         session = ClientSession(message.client)
         self._session_by_channel[channel] = session
-        seen = max(self.max_sessions_seen, len(self._session_by_channel))
-        self.max_sessions_seen = seen
+        peak = max(self.peak_session_count, len(self._session_by_channel))
+        self.peak_session_count = peak
         channel.on_lost.append(lambda: self._close_session(channel))
         return {}
 
@@ -291,17 +297,20 @@
         session.is_open = False
         self._end_transaction(session)
 
-    def _session(self, request: Request) -> ClientSession:
+    def _require_session(self, request: Request) -> ClientSession:
         session = self._session_by_channel.get(request.channel)
         if session is None:
-            raise EngineProblem(CODE_UNAUTHENTICATED, "Connect first.")
-        session.used_at = self._reactor.seconds()
+            raise EngineError(
+                CODE_UNAUTHENTICATED,
+                "The connection is not authenticated; call /connect first.",
+            )
+        session.last_used_at = self._reactor.seconds()
         return session
 
     async def _execute(self, request: Request, message: Execute) -> object:
-        self._record(request, msgspec.json.encode(message))
-        session = self._session(request)
-        await self._occupy_slot()
+        self._record_request(request, msgspec.json.encode(message))
+        session = self._require_session(request)
+        await self._simulate_execution()
         if session.transaction is not None:
             return self.engine.execute(session.transaction, message)
         if message.read:
@@ -311,11 +320,11 @@
             result = self.engine.write(message)
         finally:
             self._lock.release(session)
-        self._changed()
-        self._lose_answer(request)
+        self._notify_change()
+        self._drop_response(request)
         return result
 
-    async def _occupy_slot(self) -> None:
+    async def _simulate_execution(self) -> None:
         if not self.faults.statement_ms:
             return
         await self._slots.acquire()
@@ -325,45 +334,47 @@
             self._slots.release()
 
     async def _begin(self, request: Request, message: Begin) -> object:
-        session = self._session(request)
+        session = self._require_session(request)
         if session.transaction is not None:
-            raise EngineProblem(CODE_NO_TRANSACTION, "A transaction is open already.")
+            raise EngineError(CODE_NO_TRANSACTION, "A transaction is already open.")
         self.engine.check_writable(message.term)
         await self._lock.acquire(session)
         try:
             session.transaction = self.engine.begin(message.term)
-        except EngineProblem:
+        except EngineError:
             self._lock.release(session)
             raise
         session.term = message.term
-        self._reactor.callLater(TRANSACTION_IDLE_S, self._expire, session)
+        self._reactor.callLater(TRANSACTION_IDLE_S, self._expire_transaction, session)
         return {}
 
-    def _expire(self, session: ClientSession) -> None:
+    def _expire_transaction(self, session: ClientSession) -> None:
         if session.transaction is None or not session.is_open:
             return
-        idle_s = self._reactor.seconds() - session.used_at
+        idle_s = self._reactor.seconds() - session.last_used_at
         if idle_s >= TRANSACTION_IDLE_S:
             self._end_transaction(session)
             return
-        self._reactor.callLater(TRANSACTION_IDLE_S - idle_s, self._expire, session)
+        self._reactor.callLater(
+            TRANSACTION_IDLE_S - idle_s, self._expire_transaction, session
+        )
 
     async def _commit(self, request: Request, message: Commit) -> object:
-        self._record(request, msgspec.json.encode(message))
-        session = self._session(request)
+        self._record_request(request, msgspec.json.encode(message))
+        session = self._require_session(request)
         transaction, session.transaction = session.transaction, None
         if transaction is None:
-            raise EngineProblem(CODE_NO_TRANSACTION, "No transaction is open.")
+            raise EngineError(CODE_NO_TRANSACTION, "No transaction is open.")
         try:
             result = self.engine.commit(transaction, message, session.term)
         finally:
             self._lock.release(session)
-        self._changed()
-        self._lose_answer(request)
+        self._notify_change()
+        self._drop_response(request)
         return result
 
     async def _rollback(self, request: Request, body: bytes) -> object:
-        self._end_transaction(self._session(request))
+        self._end_transaction(self._require_session(request))
         return {}
 
     def _end_transaction(self, session: ClientSession) -> None:
@@ -373,28 +384,28 @@
         self._lock.release(session)
 
     async def _resolve(self, request: Request, message: Resolve) -> object:
-        session = self._session(request)
+        session = self._require_session(request)
         await self._lock.acquire(session)
         try:
             resolved = self.engine.resolve(message)
         finally:
             self._lock.release(session)
-        self._changed()
+        self._notify_change()
         return resolved
 
     async def _status(self, request: Request, message: Watch) -> object:
-        if message.hold_ms and self._is_known(message):
+        if message.hold_ms and self._is_unchanged(message):
             changed: Deferred[None] = Deferred()
             self._watchers.append(changed)
             timer = self._reactor.callLater(
-                message.hold_ms / 1000, self._end_watch, changed
+                message.hold_ms / 1000, self._expire_watch, changed
             )
             await changed
             if timer.active():
                 timer.cancel()
         return self.status()
 
-    def _is_known(self, message: Watch) -> bool:
+    def _is_unchanged(self, message: Watch) -> bool:
         last = self.engine.last
         return (
             message.known_term == last.term
@@ -402,21 +413,21 @@
             and message.known_promised == self.engine.promised_term
         )
 
-    def _end_watch(self, changed: Deferred[None]) -> None:
+    def _expire_watch(self, changed: Deferred[None]) -> None:
         if changed in self._watchers:
             self._watchers.remove(changed)
             changed.callback(None)
 
-    def _changed(self) -> None:
+    def _notify_change(self) -> None:
         watchers, self._watchers = self._watchers, []
         for watcher in watchers:
             watcher.callback(None)
         if self.engine.is_primary:
             for shipper in self._shippers:
-                shipper.committed()
+                shipper.notify_commit()
 
     def status(self) -> Status:
-        """Return the state that probes see."""
+        """Return the state that is reported to probes."""
         lineage = self.engine.lineage
         starts = [(start.term, start.index) for start in lineage.starts]
         return Status(
@@ -430,57 +441,57 @@
         )
 
     def _link_age_ms(self) -> float | None:
-        if self._heard_at is None:
+        if self._last_replicated_at is None:
             return None
-        return (self._reactor.seconds() - self._heard_at) * 1000
+        return (self._reactor.seconds() - self._last_replicated_at) * 1000
 
     async def _fence(self, request: Request, message: Fence) -> object:
         granted = self.engine.fence(message.term, message.owner)
         if granted:
-            self._drop_transactions()
-            self._heard_at = None
-            self._changed()
+            self._rollback_all()
+            self._last_replicated_at = None
+            self._notify_change()
         last = self.engine.last
         return FenceAnswer(granted, self.engine.promised_term, last.term, last.index)
 
-    def _drop_transactions(self) -> None:
+    def _rollback_all(self) -> None:
         for session in list(self._session_by_channel.values()):
             if session.transaction is not None:
                 self._end_transaction(session)
 
     async def _promote(self, request: Request, message: Promote) -> object:
         accepted = self.engine.promote(message.term, message.owner)
-        self._changed()
+        self._notify_change()
         return {"accepted": accepted}
 
     async def _replicate(self, request: Request, message: Replicate) -> object:
         was_primary = self.engine.is_primary
         if message.term >= self.engine.promised_term:
             if was_primary or message.term > self.engine.promised_term:
-                self._drop_transactions()
-            self._heard_at = self._reactor.seconds()
-            self._track_replication(request.channel)
-        before = self.engine.last
-        accepted = self.engine.accept_log(message)
-        if self.engine.last != before or was_primary:
-            self._changed()
+                self._rollback_all()
+            self._last_replicated_at = self._reactor.seconds()
+            self._track_replication_channel(request.channel)
+        last_before = self.engine.last
+        accepted = self.engine.append_entries(message)
+        if self.engine.last != last_before or was_primary:
+            self._notify_change()
         lineage = self.engine.lineage
         starts = [(start.term, start.index) for start in lineage.starts]
         return ReplicateAnswer(
             accepted, self.engine.promised_term, starts, lineage.last_index
         )
 
-    def _track_replication(self, channel: Any) -> None:
+    def _track_replication_channel(self, channel: Any) -> None:
         if channel is None or channel is self._replication_channel:
             return
         self._replication_channel = channel
-        channel.on_lost.append(lambda: self._replication_lost(channel))
+        channel.on_lost.append(lambda: self._handle_replication_lost(channel))
 
-    def _replication_lost(self, channel: Any) -> None:
+    def _handle_replication_lost(self, channel: Any) -> None:
         if self._replication_channel is channel:
             self._replication_channel = None
-            self._heard_at = None
-            self._changed()
+            self._last_replicated_at = None
+            self._notify_change()
 
     async def _set_faults(self, request: Request, body: bytes) -> object:
         changes = msgspec.json.decode(body, type=dict[str, Any])
@@ -488,20 +499,20 @@
             setattr(self.faults, name, value)
         return self.faults
 
-    async def _recorded(self, request: Request, body: bytes) -> object:
+    async def _get_recorded(self, request: Request, body: bytes) -> object:
         return {
-            "requests": [item.decode("latin-1") for item in self.recorded],
-            "max_sessions": self.max_sessions_seen,
+            "requests": [item.decode("latin-1") for item in self.recorded_requests],
+            "max_sessions": self.peak_session_count,
         }
 
-    def _lose_answer(self, request: Request) -> None:
+    def _drop_response(self, request: Request) -> None:
         if self.faults.lost_answers <= 0:
             return
         self.faults.lost_answers -= 1
         channel = request.channel
         if channel is not None:
             channel.transport.abortConnection()
-        raise SessionClosed("The answer is lost on purpose.")
+        raise SessionClosed("The response was dropped by fault injection.")
 
     def _sleep(self, duration_ms: float) -> Deferred[None]:
         clock: IReactorTime = self._reactor
@@ -511,7 +522,7 @@
 def start_database(
     settings: DatabaseSettings, reactor: IReactorTCP, *, host: str, port: int
 ) -> DatabaseServer:
-    """Create a database server and listen."""
+    """Create a database server and start listening."""
     server = DatabaseServer(settings, reactor)
     server.listen(host, port)
     return server
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/standins/fault_relay.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/standins/fault_relay.py
@@ -1,4 +1,4 @@
-"""TCP relay in front of a link, which can cut, freeze or delay it."""
+"""TCP relay with fault injection: it can block, freeze or delay a link."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
     from twisted.python.failure import Failure
 
 
-class RelaySide(Protocol):
-    """One side of a relayed connection."""
+class RelayConnection(Protocol):
+    """One of the two connections of a relayed stream."""
 
     def __init__(self, relay: FaultRelay) -> None:
         self._relay = relay
-        self._peer: RelaySide | None = None
-        self._early: list[bytes] = []
+        self._peer: RelayConnection | None = None
+        self._buffered: list[bytes] = []
         self.is_open = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Disable Nagle's algorithm."""
+        """Mark the connection open and disable Nagle's algorithm."""
         self.is_open = True
         self.transport.setTcpNoDelay(True)
 
-    def join(self, peer: RelaySide) -> None:
-        """Connect the two sides and pass on what came early."""
+    def attach_peer(self, peer: RelayConnection) -> None:
+        """Set the opposite connection and forward the data buffered so far."""
         self._peer = peer
-        early, self._early = self._early, []
-        for data in early:
+        buffered, self._buffered = self._buffered, []
+        for data in buffered:
             self.dataReceived(data)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Pass data on after the delay; drop it while the link is frozen."""
+        """Forward data after the delay; discard it while the link is frozen."""
         if self._peer is None:
-            self._early.append(data)
+            self._buffered.append(data)
             return
         if self._relay.frozen:
             return
@@ -47,69 +47,70 @@
             self._peer.send(data)
 
     def send(self, data: bytes) -> None:
-        """Write to this side if it is still open."""
+        """Write to this connection if it is open."""
         if self.is_open:
             self.transport.write(data)
 
     def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:  # noqa: N802
-        """Close the other side too."""
+        """Close the opposite connection."""
         self.is_open = False
-        self._relay.sides.discard(self)
+        self._relay.connections.discard(self)
         if self._peer is not None and self._peer.is_open:
             self._peer.transport.loseConnection()
 
 
 class FaultRelay(Factory):
-    """Relay from a local port to a target address.
+    """Relays connections of a local port to a target address.
 
     Parameters
     ----------
     reactor : object
         Reactor that owns the sockets.
     host, port : str, int
-        Address to relay to.
+        Target address.
     """
 
     def __init__(self, reactor: Any, host: str, port: int) -> None:
         self.reactor = reactor
-        self.sides: set[RelaySide] = set()
+        self.connections: set[RelayConnection] = set()
         self.cut = False
         self.frozen = False
         self.delay_s = 0.0
-        self._target = (host, port)
+        self._target_address = (host, port)
 
-    def buildProtocol(self, addr: IAddress) -> RelaySide | None:  # noqa: N802
-        """Refuse the connection while the link is cut."""
+    def buildProtocol(self, addr: IAddress) -> RelayConnection | None:  # noqa: N802
+        """Accept a connection unless the link is blocked."""
         if self.cut:
             return None
-        side = RelaySide(self)
-        self.sides.add(side)
-        host, port = self._target
+        inbound = RelayConnection(self)
+        self.connections.add(inbound)
+        host, port = self._target_address
         endpoint = TCP4ClientEndpoint(self.reactor, host, port, timeout=2)
-        far = RelaySide(self)
-        self.sides.add(far)
-        connected = connectProtocol(endpoint, far)
+        outbound = RelayConnection(self)
+        self.connections.add(outbound)
+        connected = connectProtocol(endpoint, outbound)
         connected.addCallbacks(
-            lambda _: self._join(side, far), lambda _: self._drop(side, far)
+            lambda _: self._attach(inbound, outbound),
+            lambda _: self._abort(inbound, outbound),
         )
-        return side
+        return inbound
 
     def set_cut(self, cut: bool) -> None:
-        """Break all connections and refuse new ones, or heal the link."""
+        """Abort all connections and reject new ones, or unblock the link."""
         self.cut = cut
         if not cut:
             return
-        for side in list(self.sides):
-            if side.is_open:
-                side.transport.abortConnection()
-
-    def _join(self, side: RelaySide, far: RelaySide) -> None:
-        side.join(far)
-        far.join(side)
-        if not side.is_open and far.is_open:
-            far.transport.loseConnection()
-
-    def _drop(self, side: RelaySide, far: RelaySide) -> None:
-        self.sides.discard(far)
-        if side.is_open:
-            side.transport.abortConnection()
+        for connection in list(self.connections):
+            if connection.is_open:
+                connection.transport.abortConnection()
+
+    def _attach(self, inbound: RelayConnection, outbound: RelayConnection) -> None:
+        inbound.attach_peer(outbound)
+        outbound.attach_peer(inbound)
+        if not inbound.is_open and outbound.is_open:
+            outbound.transport.loseConnection()
+
+    def _abort(self, inbound: RelayConnection, outbound: RelayConnection) -> None:
+        self.connections.discard(outbound)
+        if inbound.is_open:
+            inbound.transport.abortConnection()
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/standins/log_shipper.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/standins/log_shipper.py
@@ -1,4 +1,4 @@
-"""Ships the log of a primary to one peer, asynchronously."""
+"""Asynchronous replication of a primary's log to one peer."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 
 HEARTBEAT_S = 0.05
 TIMEOUT_S = 0.3
-BATCH = 200
+MAX_BATCH_ENTRIES = 200
 
 
 class LogShipper:
-    """Link from one database to one peer; idle while not primary.
+    """Replicates the log of one database to one peer while it is primary.
 
     Parameters
     ----------
     engine : DatabaseEngine
-        Source of the log.
+        Engine whose log is replicated.
     reactor : object
         Reactor that owns the socket.
     name : str
-        Name of the source.
+        Name of the replicating database.
     host, port : str, int
         Address of the peer.
     faults : Faults
-        Lag and switch of the replication.
+        Replication lag, and whether replication is enabled.
     """
 
     def __init__(
@@ -59,94 +59,96 @@
         self._connection: HttpClientConnection | None = None
         self._next_index = 0
         self._term = 0
-        self._committed: deque[tuple[float, int]] = deque()
+        self._pending_commits: deque[tuple[float, int]] = deque()
         self._released_index = 0
-        self._wake: Deferred[None] | None = None
+        self._wakeup: Deferred[None] | None = None
         self._running = False
 
     def start(self) -> None:
-        """Start the shipping task."""
+        """Start the replication task."""
         self._running = True
         Deferred.fromCoroutine(self._run()).addErrback(lambda _: None)
 
     def stop(self) -> None:
-        """Stop the task and close the link."""
+        """Stop the replication task and abort the connection."""
         self._running = False
         if self._connection is not None:
             self._connection.abort()
-        self._notify()
+        self._wake_up()
 
-    def committed(self) -> None:
-        """Note a commit; it is shipped after the lag."""
-        due = self._reactor.seconds() + self._faults.lag_ms / 1000
-        self._committed.append((due, self._engine.last.index))
+    def notify_commit(self) -> None:
+        """Schedule the last entry for replication after the configured lag."""
+        due_at = self._reactor.seconds() + self._faults.lag_ms / 1000
+        self._pending_commits.append((due_at, self._engine.last.index))
         if self._faults.lag_ms:
-            self._reactor.callLater(self._faults.lag_ms / 1000, self._notify)
+            self._reactor.callLater(self._faults.lag_ms / 1000, self._wake_up)
         else:
-            self._notify()
+            self._wake_up()
 
-    def _notify(self) -> None:
-        wake, self._wake = self._wake, None
-        if wake is not None:
-            wake.callback(None)
+    def _wake_up(self) -> None:
+        wakeup, self._wakeup = self._wakeup, None
+        if wakeup is not None:
+            wakeup.callback(None)
 
     async def _run(self) -> None:
         while self._running:
             shipped = False
             if self._engine.is_primary and self._faults.replication:
-                shipped = await self._ship()
+                shipped = await self._ship_batch()
             elif self._connection is not None:
                 self._connection.abort()
                 self._connection = None
             if not shipped and self._running:
-                await self._pause()
+                await self._wait_for_commit()
 
-    async def _pause(self) -> None:
-        wake: Deferred[None] = Deferred()
-        self._wake = wake
-        timer = self._reactor.callLater(HEARTBEAT_S, self._notify)
-        await wake
+    async def _wait_for_commit(self) -> None:
+        wakeup: Deferred[None] = Deferred()
+        self._wakeup = wakeup
+        timer = self._reactor.callLater(HEARTBEAT_S, self._wake_up)
+        await wakeup
         if timer.active():
             timer.cancel()
 
-    async def _ship(self) -> bool:
-        """Send one batch; True if more may follow at once."""
+    async def _ship_batch(self) -> bool:
+        """Send one batch; return whether the next can be sent immediately."""
         term = self._engine.last.term
         if term != self._term:
             self._term = term
             self._next_index = self._engine.last.index
             self._released_index = self._engine.last.index
-            self._committed.clear()
-        self._release()
+            self._pending_commits.clear()
+        self._release_due_entries()
         entries = [
             entry
-            for entry in self._engine.entries_after(self._next_index - 1, BATCH)
+            for entry in self._engine.entries_after(
+                self._next_index - 1, MAX_BATCH_ENTRIES
+            )
             if entry.index <= self._released_index
         ]
         previous = self._next_index - 1
         message = Replicate(
-            term, self._name, self._engine.term_of(previous), previous, entries
+            term, self._name, self._engine.term_at(previous), previous, entries
         )
         try:
-            answer = await self._send(message)
+            reply = await self._send(message)
         except (ConnectionBroken, TimeoutError, msgspec.MsgspecError):
             if self._connection is not None:
                 self._connection.abort()
             self._connection = None
             return False
-        if answer.accepted:
+        if reply.accepted:
             self._next_index = previous + len(entries) + 1
             return self._next_index <= self._released_index
-        if answer.promised_term > term:
+        if reply.promised_term > term:
             return False
-        self._next_index = self._common_prefix(answer) + 1
+        self._next_index = self._common_prefix(reply) + 1
         return True
 
-    def _release(self) -> None:
+    def _release_due_entries(self) -> None:
         now = self._reactor.seconds()
-        while self._committed and self._committed[0][0] <= now:
+        while self._pending_commits and self._pending_commits[0][0] <= now:
             self._released_index = max(
-                self._released_index, self._committed.popleft()[1]
+                self._released_index, self._pending_commits.popleft()[1]
             )
 
     async def _send(self, message: Replicate) -> ReplicateAnswer:
@@ -161,14 +163,14 @@
         response = await pending.addTimeout(TIMEOUT_S, self._reactor)
         return msgspec.json.decode(response.body, type=ReplicateAnswer)
 
-    def _common_prefix(self, answer: ReplicateAnswer) -> int:
-        starts = tuple(TermStart(term, index) for term, index in answer.starts)
-        theirs = Lineage(starts, answer.last_index)
-        index = min(theirs.last_index, self._engine.last.index)
-        for start in reversed(theirs.starts):
+    def _common_prefix(self, reply: ReplicateAnswer) -> int:
+        starts = tuple(TermStart(term, index) for term, index in reply.starts)
+        peer_lineage = Lineage(starts, reply.last_index)
+        index = min(peer_lineage.last_index, self._engine.last.index)
+        for start in reversed(peer_lineage.starts):
             if start.index > index:
                 continue
-            if self._engine.term_of(index) == start.term:
+            if self._engine.term_at(index) == start.term:
                 return index
             index = start.index - 1
         return max(0, index)
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/standins/platform_server.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/standins/platform_server.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform: table service, object store and VM list, with faults."""
+"""Stand-in for the platform: table service, object store, VM list, fault injection."""
 
 from __future__ import annotations
 
@@ -27,20 +27,21 @@
 
 
 class PlatformFaults(msgspec.Struct):
-    """Behaviour that the admin route can change.
+    """Injected faults and delays, adjustable through the route ``/faults``.
 
     Parameters
     ----------
     down : bool
-        Answer 503 without effect.
+        Respond with status 503 without executing the request.
     silent : bool
-        Give no answer and have no effect.
+        Neither execute requests nor respond to them.
     slow_ms : float
-        Delay before the effect.
+        Delay before a request is executed, in ms.
     lost_answers : int
-        Number of coming transactions whose answer is lost after the effect.
+        Number of subsequent transactions that take effect but whose response is
+        dropped.
     vm_lag_s : float
-        Delay before a change of the VM list shows.
+        Delay before a change of the VM list becomes visible, in s.
     """
 
     down: bool = False
@@ -51,7 +52,7 @@
 
 
 class TableEngine:
-    """Rows with revisions in memory.
+    """In-memory table of rows with revisions.
 
     Examples
     --------
@@ -67,7 +68,7 @@
         self._revision = 0
 
     def transact(self, message: Transact) -> TransactAnswer:
-        """Apply a transaction if its conditions hold."""
+        """Apply a transaction if all its conditions hold."""
         for condition in message.conditions:
             row = self._row_by_key.get(condition.key)
             if condition.revision != (row.revision if row else 0):
@@ -81,7 +82,7 @@
         return TransactAnswer(applied=True, revisions=revisions)
 
     def read(self, message: Read) -> ReadAnswer:
-        """Return the rows that exist."""
+        """Return the existing rows among the requested keys and prefix."""
         rows = [
             self._row_by_key[key] for key in message.keys if key in self._row_by_key
         ]
@@ -103,29 +104,31 @@
     reactor : object
         Reactor that owns the sockets.
     credential : str
-        Credential that VMs must present.
+        Credential required from VMs.
     """
 
     def __init__(self, reactor: Any, *, credential: str) -> None:
         self.faults = PlatformFaults()
         self.table = TableEngine()
-        self.operations_by_path: dict[str, int] = {}
+        self.request_count_by_path: dict[str, int] = {}
         self._objects: dict[str, bytes] = {}
         self._vms = VmList()
         self._reactor = reactor
         self._credential = f"Bearer {credential}"
         self._port: Any = None
-        routes = Routes(self._object)
-        routes.add("POST", "/table/transact", self._guard(self._transact))
-        routes.add("POST", "/table/read", self._guard(self._read))
-        routes.add("GET", "/vms", self._guard(self._list_vms))
+        routes = Routes(self._handle_object)
+        routes.add(
+            "POST", "/table/transact", self._with_auth_and_faults(self._transact)
+        )
+        routes.add("POST", "/table/read", self._with_auth_and_faults(self._read))
+        routes.add("GET", "/vms", self._with_auth_and_faults(self._list_vms))
         routes.add("PUT", "/vms", self._set_vms)
         routes.add("POST", "/faults", self._set_faults)
-        routes.add("GET", "/operations", self._operations)
+        routes.add("GET", "/operations", self._get_operations)
         self.site = TrackedSite(routes)
 
     def listen(self, host: str, port: int) -> int:
-        """Start to serve; returns the port."""
+        """Start listening; returns the port."""
         self._port = self._reactor.listenTCP(port, self.site, interface=host)
         return self._port.getHost().port
 
@@ -136,10 +139,12 @@
             channel.transport.abortConnection()
         await stopped
 
-    def _guard(self, handler: Callable) -> Callable:
+    def _with_auth_and_faults(self, handler: Callable) -> Callable:
         async def handle(request: Request) -> None:
             name = request.path.decode()
-            self.operations_by_path[name] = self.operations_by_path.get(name, 0) + 1
+            self.request_count_by_path[name] = (
+                self.request_count_by_path.get(name, 0) + 1
+            )
             if request.getHeader("authorization") != self._credential:
                 answer_json(request, 401, {"code": "unauthenticated"})
                 return
@@ -182,13 +187,13 @@
         await self._sleep(self.faults.vm_lag_s)
         self._vms = vms
 
-    async def _object(self, request: Request) -> None:
+    async def _handle_object(self, request: Request) -> None:
         name = request.path.decode()
         if not name.startswith("/objects/"):
             answer_json(request, 404, {"code": "unknown_route"})
             return
         handler = self._put_object if request.method == b"PUT" else self._get_object
-        await self._guard(handler)(request)
+        await self._with_auth_and_faults(handler)(request)
 
     async def _put_object(self, request: Request) -> None:
         self._objects[request.path.decode()] = request.content.read()
@@ -207,8 +212,8 @@
             setattr(self.faults, name, value)
         answer_json(request, 200, self.faults)
 
-    async def _operations(self, request: Request) -> None:
-        answer_json(request, 200, self.operations_by_path)
+    async def _get_operations(self, request: Request) -> None:
+        answer_json(request, 200, self.request_count_by_path)
 
     def _sleep(self, duration_s: float) -> Deferred[None]:
         return deferLater(self._reactor, duration_s, lambda: None)
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/standins/relay_server.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/standins/relay_server.py
@@ -1,4 +1,4 @@
-"""A set of named relays with a control route."""
+"""Named TCP relays with an HTTP route that controls their faults."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LinkFaults(msgspec.Struct, frozen=True):
-    """Faults of the links whose names start with ``prefix``."""
+    """Faults to set on the links whose names start with ``prefix``."""
 
     prefix: str
     cut: bool = False
@@ -25,7 +25,7 @@
 
 
 class RelayServer:
-    """Relays between loopback ports.
+    """Set of relays between loopback ports.
 
     Parameters
     ----------
@@ -58,12 +58,12 @@
         except msgspec.MsgspecError as error:
             answer_json(request, 400, {"code": "bad_request", "detail": str(error)})
             return
-        matching = []
+        matched_links = []
         for link, relay in self._relay_by_link.items():
             if not link.startswith(faults.prefix):
                 continue
-            matching.append(link)
+            matched_links.append(link)
             relay.set_cut(faults.cut)
             relay.frozen = faults.frozen
             relay.delay_s = faults.delay_ms / 1000
-        answer_json(request, 200, {"links": matching})
+        answer_json(request, 200, {"links": matched_links})
--- a/packages/guavabarrow-cli/tests/test_database_engine.py
+++ b/packages/guavabarrow-cli/tests/test_database_engine.py
@@ -1,6 +1,6 @@
 import pytest
 
-from guavabarrow_cli.standins.database_engine import DatabaseEngine, EngineProblem
+from guavabarrow_cli.standins.database_engine import DatabaseEngine, EngineError
 from guavabarrow_core.log_position import LogPosition
 from guavabarrow_daemon.targets.http_messages import (
     CODE_BEHIND,
@@ -13,7 +13,7 @@
     Resolve,
 )
 
-ROWS = Execute("SELECT n FROM t ORDER BY n", read=True)
+SELECT_ROWS = Execute("SELECT n FROM t ORDER BY n", read=True)
 
 
 @pytest.fixture
@@ -41,70 +41,72 @@
     )
 
 
-def ship(source, target, after=0):
+def replicate(source, target, after=0):
     entries = source.entries_after(after, 100)
-    previous = source.term_of(after)
-    return target.accept_log(Replicate(source.last.term, "p", previous, after, entries))
+    previous = source.term_at(after)
+    return target.append_entries(
+        Replicate(source.last.term, "p", previous, after, entries)
+    )
 
 
 def rows(engine):
-    return [row[0] for row in engine.read(ROWS).rows]
+    return [row[0] for row in engine.read(SELECT_ROWS).rows]
 
 
-def test_write_that_is_called_a_read_in_a_transaction_reaches_replicas(
-    primary, replica
-):
+def test_write_flagged_as_read_in_a_transaction_is_replicated(primary, replica):
     transaction = primary.begin(1)
     statement = Execute("INSERT INTO t VALUES (7)", read=True)
     primary.execute(transaction, statement)
     primary.commit(transaction, Commit(), 1)
-    assert ship(primary, replica)
+    assert replicate(primary, replica)
     assert rows(primary) == rows(replica) == [7]
 
 
-def test_repeat_of_an_id_is_answered_from_the_record(primary):
+def test_repeated_request_id_returns_the_recorded_result(primary):
     first = primary.write(insert(1, request_id="i"))
-    again = primary.write(insert(1, request_id="i"))
-    assert (first.replayed, again.replayed) == (False, True)
+    repeated = primary.write(insert(1, request_id="i"))
+    assert (first.replayed, repeated.replayed) == (False, True)
     assert rows(primary) == [1]
-    with pytest.raises(EngineProblem) as refusal:
+    with pytest.raises(EngineError) as error:
         primary.write(insert(1, request_id="i", fingerprint="other"))
-    assert refusal.value.code == CODE_ID_REUSED
+    assert error.value.code == CODE_ID_REUSED
 
 
-def test_record_fails_over_with_the_effect(primary, replica):
+def test_recorded_result_survives_failover(primary, replica):
     primary.write(insert(1, request_id="i"))
-    assert ship(primary, replica)
+    assert replicate(primary, replica)
     assert replica.fence(2, "vm")
     assert replica.promote(2, "vm")
     assert replica.write(insert(1, term=2, request_id="i")).replayed
     assert rows(replica) == [1]
 
 
-def test_request_that_was_ruled_out_never_runs(primary):
+def test_request_resolved_without_result_cannot_run(primary):
     assert primary.resolve(Resolve(1, "a", "i")).result is None
-    with pytest.raises(EngineProblem) as refusal:
+    with pytest.raises(EngineError) as error:
         primary.write(insert(1, request_id="i"))
-    assert refusal.value.code == CODE_MUST_NOT_RUN
+    assert error.value.code == CODE_MUST_NOT_RUN
 
 
-def test_fenced_primary_writes_nothing_and_drops_what_others_lack(primary, replica):
+def test_fenced_primary_rejects_writes_and_discards_unreplicated_entries(
+    primary, replica
+):
     primary.write(insert(1))
-    assert ship(primary, replica)
+    assert replicate(primary, replica)
     primary.write(insert(2))
     assert primary.fence(2, "vm")
-    with pytest.raises(EngineProblem) as refusal:
+    with pytest.raises(EngineError) as error:
         primary.write(insert(3))
-    assert refusal.value.code == CODE_NOT_PRIMARY
-    shared = replica.last.index
+    assert error.value.code == CODE_NOT_PRIMARY
+    common_index = replica.last.index
     assert replica.fence(2, "vm")
     assert replica.promote(2, "vm")
     replica.write(insert(4, term=2))
-    assert ship(replica, primary, after=shared)
+    assert replicate(replica, primary, after=common_index)
     assert rows(primary) == rows(replica) == [1, 4]
 
 
-def test_promise_and_log_outlive_the_process(primary, tmp_path):
+def test_promised_term_and_log_survive_a_restart(primary, tmp_path):
     primary.write(insert(1))
     primary.close()
     engine = DatabaseEngine(tmp_path / "primary.sqlite")
@@ -114,13 +116,13 @@
     assert not engine.fence(1, "other")
 
 
-def test_read_beyond_the_log_is_refused(replica):
-    with pytest.raises(EngineProblem) as refusal:
+def test_read_beyond_the_log_is_rejected(replica):
+    with pytest.raises(EngineError) as error:
         replica.read(Execute("SELECT 1", read=True, min_term=1, min_index=5))
-    assert refusal.value.code == CODE_BEHIND
+    assert error.value.code == CODE_BEHIND
 
 
-def test_lower_term_is_refused(primary, replica):
+def test_entries_of_a_lower_term_are_rejected(primary, replica):
     assert replica.fence(5, "vm")
-    assert not ship(primary, replica)
+    assert not replicate(primary, replica)
     assert replica.last == LogPosition(0, 0)
