--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/__init__.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Commands of the binary ``guavabarrow``, one class for each noun."""
+"""Commands of the ``guavabarrow`` executable, one class or function per noun."""
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/beliefs_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/beliefs_command.py
@@ -16,33 +16,33 @@
 from guavabarrow_daemon.operations.beliefs import Beliefs
 
 TIMEOUT_S = 5.0
-"""A VM answers within milliseconds, a busy one within a second."""
+"""VMs respond within milliseconds, busy ones within a second."""
 
 
 def beliefs(address: str, *, json: bool = False) -> None:
-    """Show what a session VM believes: members, primaries, rights, targets.
+    """Show the local view of a session VM: members, primaries, leases, targets.
 
     Parameters
     ----------
     address : str
-        Its metrics address, HOST:PORT.
+        Metrics address of the VM, HOST:PORT.
     json : bool
-        Whether to print one JSON document.
+        Print JSON.
     """
-    known = fetch_beliefs(str(address))
+    view = fetch_local_view(str(address))
     if json:
-        print_json(known)
+        print_json(view)
         return
     print_line(
-        f"{known.vm} ({known.incarnation}): table {known.table_age_s} s old, targets "
-        f"{known.targets_age_s} s, configuration {known.configuration}, "
-        f"{'registered' if known.is_registered else 'NOT REGISTERED'}"
+        f"{view.vm} ({view.incarnation}): table {view.table_age_s} s old, targets "
+        f"{view.targets_age_s} s, configuration {view.configuration}, "
+        f"{'registered' if view.is_registered else 'NOT REGISTERED'}"
     )
     print_line(
-        f"duty: {known.duty_holder or 'nobody'}"
-        f"{' (acts)' if known.holds_duty else ''}; "
-        f"pool: {known.pool_host or 'none'}; "
-        f"evacuated: {' '.join(known.evacuated) or 'none'}"
+        f"promotion duty: {view.duty_holder or 'none'}"
+        f"{' (this VM)' if view.holds_duty else ''}; "
+        f"pool: {view.pool_host or 'none'}; "
+        f"evacuated: {' '.join(view.evacuated) or 'none'}"
     )
     print_line("")
     print_table(
@@ -57,7 +57,7 @@
                 if member.is_in_contact
                 else "",
             )
-            for member in known.members
+            for member in view.members
         ],
     )
     print_line("")
@@ -65,7 +65,7 @@
         ("service", "primary", "term", "phase", "usable"),
         [
             (p.service, p.target, p.term, p.phase, "yes" if p.may_be_used else "no")
-            for p in known.primaries
+            for p in view.primaries
         ],
     )
     print_line("")
@@ -79,22 +79,22 @@
                 "yes" if t.is_draining else "no",
                 t.evidence,
             )
-            for t in known.targets
+            for t in view.targets
         ],
     )
 
 
-def fetch_beliefs(address: str) -> Beliefs:
-    """Ask a VM; ends the command if it does not say."""
+def fetch_local_view(address: str) -> Beliefs:
+    """Request the local view of a VM; exits with an error if that fails."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        fail(f"An address is HOST:PORT, not {address!r}.", EXIT_USAGE)
+        fail(f"Invalid address {address!r}: expected HOST:PORT.", EXIT_USAGE)
     connection = HTTPConnection(host, int(port), timeout=TIMEOUT_S)
     try:
         connection.request("GET", "/beliefs")
         response = connection.getresponse()
         if response.status != 200:
-            fail(f"{address} answered {response.status}.")
+            fail(f"{address} responded with status {response.status}.")
         return msgspec.json.decode(response.read(), type=Beliefs)
     except (OSError, HTTPException, msgspec.MsgspecError) as error:
         fail(f"{address}: {error}")
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/demo_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/demo_command.py
@@ -12,12 +12,12 @@
 
 
 def demo(verbose: bool = False) -> None:
-    """Run a fleet in this process and show what happens while things fail.
+    """Run a fleet in this process and show its behaviour during failures.
 
     Parameters
     ----------
     verbose : bool
-        Print the log of the VMs as well.
+        Also print the log of the VMs.
     """
     if verbose:
         configure_log(LogSettings(format="console"))
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/experiment_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/experiment_command.py
@@ -25,14 +25,14 @@
     Parameters
     ----------
     plan : str
-        File with the plan, JSON with comments; see experiments/.
+        Plan file, JSON with comments; see experiments/.
     json : bool
-        Print JSON with every run.
+        Print JSON, including every run.
     plot : str, optional
-        Save a picture, ``.png`` or ``.svg``.
+        Save a plot to this file, ``.png`` or ``.svg``.
     """
     try:
-        content = ExperimentPlan.model_validate(
+        experiment_plan = ExperimentPlan.model_validate(
             jsonc.loads(Path(plan).read_text("utf-8"))
         )
     except ValidationError as error:
@@ -41,15 +41,17 @@
         fail(f"{plan}: cannot be read: {error}", EXIT_USAGE)
     logger.remove()
 
-    def show(variant: str, seed: int, measures: Measures) -> None:
+    def print_run(variant: str, seed: int, measures: Measures) -> None:
         if not json:
             print_line(f"{variant}, seed {seed}: {asdict(measures)}")
 
-    runner = ExperimentRunner(content, reactor, show)
+    runner = ExperimentRunner(experiment_plan, reactor, print_run)
     runs = run_in_reactor(reactor, runner.run)
     summary = {name: summarize(measures) for name, measures in runs.items()}
     if json:
-        print_json({"plan": content.model_dump(), "runs": runs, "summary": summary})
+        print_json(
+            {"plan": experiment_plan.model_dump(), "runs": runs, "summary": summary}
+        )
     else:
         print_summary(summary)
     if plot is not None:
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/explain_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/explain_command.py
@@ -10,17 +10,17 @@
 
 
 def explain(request_id: str, *files: str) -> None:
-    """Gather the log lines of one request and the beliefs that it relied on.
+    """Show the log lines of one request and the preceding state changes of its VMs.
 
     Parameters
     ----------
     request_id : str
-        Id under which the caller sent the request.
+        Request id sent by the caller.
     *files : str
-        Logs of the VMs; several are searched together.
+        Log files of the VMs, searched together.
     """
     if not files:
-        fail("Name at least one log file.", EXIT_USAGE)
+        fail("At least one log file is required.", EXIT_USAGE)
     try:
         contents = [
             Path(name).read_text(encoding="utf-8", errors="replace") for name in files
@@ -31,14 +31,14 @@
     explanation = explain_request(str(request_id), lines)
     if not explanation.answers:
         fail(
-            f"No line names {request_id}. Failures are logged in full and successes by "
-            f"sample; {explanation.dropped} lines were left out because of the bound."
+            f"No log line contains {request_id}. Failures are logged in full and "
+            f"successes sampled; {explanation.dropped} lines were dropped by the log limits."
         )
     print_line("Answers:")
     for line in explanation.answers:
         print_line(f"  {line.describe()}")
-    print_line("What the VMs that answered came to believe shortly before:")
+    print_line("Recent state changes of the VMs that answered:")
     for line in explanation.beliefs:
         print_line(f"  {line.describe()}")
     if explanation.dropped:
-        print_line(f"{explanation.dropped} lines were left out because of the bound.")
+        print_line(f"{explanation.dropped} lines were dropped by the log limits.")
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/fleet_commands.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/fleet_commands.py
@@ -38,21 +38,21 @@
 
 
 class FleetCommand(OperatorCommand):
-    """The whole configuration.
+    """Fleet configuration.
 
     Example: guavabarrow fleet apply examples/association/fleet.jsonc
     """
 
     def apply(self, file: str) -> None:
-        """Bring the content of a fleet file into force; keys are kept."""
+        """Apply a fleet file to the configuration; existing keys are kept."""
         try:
             content = FleetFile.from_file(file)
         except SettingsError as error:
             fail(str(error), EXIT_USAGE)
-        self._change(*content.to_changes())
+        self._apply_changes(*content.to_changes())
 
     def check(self, file: str) -> None:
-        """List all mistakes of a fleet file."""
+        """Validate a fleet file and list all errors."""
         try:
             content = FleetFile.from_file(file)
         except SettingsError as error:
@@ -61,7 +61,7 @@
         print_line(f"{file}: valid; {services} services, {teams} teams")
 
     def show(self) -> None:
-        """Print the configuration in force as JSON."""
+        """Print the current configuration as JSON."""
         try:
             print_json(self._client().fleet())
         except AdminRequestFailed as error:
@@ -69,7 +69,7 @@
 
 
 class TemplateCommand(OperatorCommand):
-    """Templates of teams.
+    """Team templates.
 
     Example: guavabarrow template put small --rate_per_s 50 --burst 100
     """
@@ -83,7 +83,7 @@
         read_max_age_ms: float | None = None,
     ) -> None:
         """Create or replace a template."""
-        self._change(
+        self._apply_changes(
             PutTemplate(Template(name, rate_per_s, burst, weight, read_max_age_ms))
         )
 
@@ -96,7 +96,13 @@
         print_table(
             ("template", "rate/s", "burst", "weight", "read age ms"),
             [
-                (item.name, item.rate_per_s, item.burst, item.weight, _age(item))
+                (
+                    item.name,
+                    item.rate_per_s,
+                    item.burst,
+                    item.weight,
+                    _format_max_age(item),
+                )
                 for item in templates
             ],
         )
@@ -118,7 +124,7 @@
         weight: float | None = None,
         read_max_age_ms: float | None = None,
     ) -> None:
-        """Create or replace a team; its keys are kept."""
+        """Create or replace a team; existing keys are kept."""
         names = tuple(services.split(",")) if isinstance(services, str) else services
         team = Team(
             name,
@@ -129,14 +135,14 @@
             weight=weight,
             read_max_age_ms=read_max_age_ms,
         )
-        self._change(PutTeam(team))
+        self._apply_changes(PutTeam(team))
 
     def remove(self, name: str) -> None:
         """Remove a team and its keys."""
-        self._change(RemoveTeam(name))
+        self._apply_changes(RemoveTeam(name))
 
     def list(self) -> None:
-        """List the teams with the parameters in force."""
+        """List the teams with their effective limits."""
         fleet = self._client().fleet()
         if self._json:
             print_json(list(fleet.teams.values()))
@@ -151,20 +157,20 @@
 
 
 class KeyCommand(OperatorCommand):
-    """Keys of teams. Only their hashes are stored.
+    """API keys of teams; only their hashes are stored.
 
     Example: guavabarrow key give kilima --key_id 2026-12
     """
 
     def give(self, team: str, key_id: str) -> None:
-        """Create a key, print it once and bring it into force."""
+        """Create a key, print it once and activate it."""
         key = f"gb_{token_urlsafe(KEY_BYTES)}"
         print_line(f"key (shown once): {key}")
-        self._change(GiveKey(team, str(key_id), hash_key(key)))
+        self._apply_changes(GiveKey(team, str(key_id), hash_key(key)))
 
     def withdraw(self, team: str, key_id: str) -> None:
-        """Withdraw a key; connected callers are refused and cut as well."""
-        self._change(WithdrawKey(team, str(key_id)))
+        """Revoke a key; connected callers are rejected and disconnected too."""
+        self._apply_changes(WithdrawKey(team, str(key_id)))
 
 
 class DomainCommand(OperatorCommand):
@@ -175,15 +181,15 @@
 
     def put(self, name: str, region: str = "") -> None:
         """Create a failure domain, or change its region."""
-        self._change(PutDomain(FailureDomain(name, region)))
+        self._apply_changes(PutDomain(FailureDomain(name, region)))
 
     def out(self, name: str) -> None:
-        """Take a failure domain out of service; no request is cut."""
-        self._change(SetDomainState(name, DomainState.OUT_OF_SERVICE))
+        """Take a failure domain out of service; running requests complete."""
+        self._apply_changes(SetDomainState(name, DomainState.OUT_OF_SERVICE))
 
     def back(self, name: str) -> None:
-        """Bring a failure domain back into service."""
-        self._change(SetDomainState(name, DomainState.IN_SERVICE))
+        """Return a failure domain to service."""
+        self._apply_changes(SetDomainState(name, DomainState.IN_SERVICE))
 
 
 class TargetCommand(OperatorCommand):
@@ -193,14 +199,14 @@
     """
 
     def leave(self, service: str, target: str) -> None:
-        """Give a target no new work; its primary role is handed over first."""
-        self._change(SetTargetState(service, target, TargetState.LEAVING))
+        """Assign no new work to a target; its primary role is transferred first."""
+        self._apply_changes(SetTargetState(service, target, TargetState.LEAVING))
 
     def back(self, service: str, target: str) -> None:
-        """Give a target work again."""
-        self._change(SetTargetState(service, target, TargetState.ACTIVE))
+        """Return a target to service."""
+        self._apply_changes(SetTargetState(service, target, TargetState.ACTIVE))
 
 
-def _age(template: Template) -> str:
+def _format_max_age(template: Template) -> str:
     age_ms = template.read_max_age_ms
     return "none" if age_ms is None else f"{age_ms:g}"
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/load_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/load_command.py
@@ -20,19 +20,19 @@
 
 
 def load(plan: str, json: bool = False) -> None:
-    """Run an open-loop load and print what callers saw.
+    """Run an open-loop load test and print the results per team.
 
     Parameters
     ----------
     plan : str
-        File with the plan, JSON with comments; see docs/operators/load.md.
+        Plan file, JSON with comments; see docs/operators/load.md.
     json : bool
-        Print JSON, with all percentiles.
+        Print JSON, including all percentiles.
     """
-    content = _read_plan(plan)
+    load_plan = _read_plan(plan)
     logger.remove()
     progress = None if json or not sys.stderr.isatty() else _show_progress
-    runner = LoadRunner(content, reactor, on_progress=progress)
+    runner = LoadRunner(load_plan, reactor, on_progress=progress)
     result = run_in_reactor(reactor, runner.run)
     if json:
         print_json(result.to_document())
@@ -46,7 +46,7 @@
                 f"{team.served_share:.4f}",
                 team.latency.get_value_at_percentile(50) / 1000,
                 team.latency.get_value_at_percentile(99) / 1000,
-                _refusals(team.count_by_code),
+                _format_errors(team.count_by_code),
             )
             for team in result.by_team.values()
         ],
@@ -63,12 +63,14 @@
 
 
 def _show_progress(share: float) -> None:
-    done = int(min(1.0, share) * BAR_WIDTH)
-    sys.stderr.write(f"\r[{'#' * done}{'.' * (BAR_WIDTH - done)}]")
+    filled = int(min(1.0, share) * BAR_WIDTH)
+    sys.stderr.write(f"\r[{'#' * filled}{'.' * (BAR_WIDTH - filled)}]")
     if share >= 1.0:
         sys.stderr.write("\n")
 
 
-def _refusals(count_by_code: dict[str, int]) -> str:
-    refused = {code: n for code, n in count_by_code.items() if code != "ok"}
-    return ", ".join(f"{code} {n}" for code, n in sorted(refused.items())) or "none"
+def _format_errors(count_by_code: dict[str, int]) -> str:
+    count_by_error = {code: n for code, n in count_by_code.items() if code != "ok"}
+    return (
+        ", ".join(f"{code} {n}" for code, n in sorted(count_by_error.items())) or "none"
+    )
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/operator_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/operator_command.py
@@ -1,4 +1,4 @@
-"""Base of the commands that change or show the fleet."""
+"""Base class of the commands that change or show the fleet."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 if TYPE_CHECKING:
     from guavabarrow_core.fleet_change import Change
 
-DEFAULT_ADMIN = "127.0.0.1:7001"
-SECRET_VARIABLE = "GUAVABARROW_ADMIN_SECRET"
+DEFAULT_ADMIN_ADDRESS = "127.0.0.1:7001"
+SECRET_ENV_VAR = "GUAVABARROW_ADMIN_SECRET"
 
 
 class OperatorCommand:
-    """Connection to a VM and output of a change.
+    """Calls the operator interface of a VM and prints the result of a change.
 
     Parameters
     ----------
     admin : str
-        ``ip:port`` of the operator interface of any VM.
+        Operator address of any VM, ``ip:port``.
     secret_file : str, optional
-        File with the operators' secret; else the variable
+        File with the operator secret; defaults to the environment variable
         ``GUAVABARROW_ADMIN_SECRET``.
     json : bool
         Print JSON.
     operation_id : str, optional
-        Repeat a change whose answer was lost with the id that it printed.
+        Id printed by an earlier attempt, to retry a change whose response was lost.
     base_version : int, optional
-        Refuse the change if the configuration has changed since this version.
+        Reject the change if the configuration is newer than this version.
     """
 
     def __init__(
         self,
-        admin: str = DEFAULT_ADMIN,
+        admin: str = DEFAULT_ADMIN_ADDRESS,
         secret_file: str | None = None,
         json: bool = False,
         operation_id: str | None = None,
@@ -59,12 +59,12 @@
         if self._secret_file is not None:
             secret = Path(self._secret_file).read_text(encoding="utf-8").strip()
         else:
-            secret = os.environ.get(SECRET_VARIABLE, "")
+            secret = os.environ.get(SECRET_ENV_VAR, "")
         if not secret:
-            fail(f"Set {SECRET_VARIABLE} or give --secret_file.", EXIT_USAGE)
+            fail(f"Set {SECRET_ENV_VAR} or give --secret_file.", EXIT_USAGE)
         return AdminClient(self._admin, secret)
 
-    def _change(self, *changes: Change) -> None:
+    def _apply_changes(self, *changes: Change) -> None:
         try:
             report = self._client().change(
                 list(changes),
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/replay_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/replay_command.py
@@ -6,21 +6,21 @@
 
 from guavabarrow_cli.console import EXIT_USAGE, fail, print_line
 from guavabarrow_core.trace import TraceError
-from guavabarrow_core.trace import replay as replay_lines
+from guavabarrow_core.trace import replay as replay_trace
 
 
 def replay(trace: str) -> None:
-    """Replay a recorded trace into the core and compare what it decides.
+    """Replay a recorded trace through the core and compare its decisions.
 
     Parameters
     ----------
     trace : str
-        File that a VM recorded with the setting ``trace``. Lines that state an
-        outcome may be appended: {"type": "outcome", "group": NAME, "promoted": [...]}.
+        Trace file recorded by a VM with the setting ``trace``. Lines with expected
+        outcomes may be appended: {"type": "outcome", "group": NAME, "promoted": [...]}.
     """
     try:
-        with Path(trace).open("rb") as lines:
-            steps, differences = replay_lines(lines)
+        with Path(trace).open("rb") as trace_file:
+            steps, differences = replay_trace(trace_file)
     except (OSError, TraceError) as error:
         fail(f"{trace}: {error}", EXIT_USAGE)
     for difference in differences:
@@ -30,4 +30,4 @@
         )
     if differences:
         fail(f"{len(differences)} differences in {steps} steps")
-    print_line(f"{steps} steps replayed without a difference")
+    print_line(f"{steps} steps replayed without differences")
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/report_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/report_command.py
@@ -11,7 +11,7 @@
 
 
 class ReportCommand:
-    """Reports from the metrics of the VMs.
+    """Reports computed from the metrics of the VMs.
 
     Example: guavabarrow report burn --admin 10.0.0.7:7001,10.0.0.8:7001 --for_s 60
     """
@@ -24,25 +24,25 @@
         json: bool = False,
         html: str | None = None,
     ) -> None:
-        """Poll VMs and print how fast each team's objectives burn.
+        """Poll VMs and print the error budget burn rate of each team's objectives.
 
         Parameters
         ----------
         admin : str
-            Operator addresses, separated by commas.
+            Operator addresses, comma-separated.
         every_s, for_s : float
-            Interval and duration of the polling; the windows are a twelfth, a
+            Polling interval and duration in s; the burn windows are a twelfth, a
             quarter and the whole of the duration.
         json : bool
             Print JSON.
         html : str, optional
-            Also save a page with a picture.
+            Also save the report to this file as an HTML page with a chart.
         """
         if every_s <= 0 or for_s < every_s:
             fail("--for_s must be at least --every_s, which must be positive.", 2)
         addresses = admin.split(",") if isinstance(admin, str) else list(admin)
         report = BurnReport((for_s / 12, for_s / 4, for_s))
-        self._collect(report, addresses, every_s, for_s)
+        self._poll_metrics(report, addresses, every_s, for_s)
         if html is not None:
             Path(html).write_text(report.to_html(), encoding="utf-8")
         if json:
@@ -62,17 +62,17 @@
             ],
         )
 
-    def _collect(
+    def _poll_metrics(
         self, report: BurnReport, addresses: list[str], every_s: float, for_s: float
     ) -> None:
         clients = [AdminClient(address, "") for address in addresses]
         end_at = time.monotonic() + for_s
         while True:
             try:
-                texts = [client.metrics() for client in clients]
+                expositions = [client.metrics() for client in clients]
             except AdminRequestFailed as error:
                 fail(str(error), EXIT_USAGE)
-            report.add(time.monotonic(), texts)
+            report.add(time.monotonic(), expositions)
             if time.monotonic() + every_s > end_at:
                 return
             time.sleep(every_s)
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/standin_commands.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/standin_commands.py
@@ -1,4 +1,4 @@
-"""Commands that run a stand-in of an outside system as a process of its own."""
+"""Commands that run a stand-in for an external system as a separate process."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class StandinCommand:
-    """Stand-ins for tests and trials; they listen on the loopback address only.
+    """Stand-ins for tests and experiments, listening on the loopback address only.
 
     Example: guavabarrow standin platform --port 9000 --credential 0123456789abcdef
     """
@@ -28,7 +28,7 @@
     def platform(self, port: int, credential: str) -> None:
         """Run the platform: table service, object store and VM list."""
         server = PlatformServer(reactor, credential=credential)
-        reactor.callWhenRunning(lambda: self._announce(server.listen(LOOPBACK, port)))
+        reactor.callWhenRunning(lambda: self._print_port(server.listen(LOOPBACK, port)))
         reactor.run()
 
     def database(
@@ -53,15 +53,15 @@
         port : int
             Port on the loopback address.
         directory : str
-            Folder for its file, which outlives the process.
+            Directory of the database file, which persists across restarts.
         credential : str
-            Credential that VMs must present.
+            Credential required from VMs.
         peers : str
             Other databases of the group: ``name=port,name=port``.
         max_connections, slots : int
-            Limits.
+            Maximum number of client connections and of concurrent statements.
         lag_ms, statement_ms, connect_ms : float
-            Initial lag of replication, time of a statement and of connecting.
+            Initial replication lag, statement duration and connect time, in ms.
         """
         settings = DatabaseSettings(
             name=name,
@@ -75,26 +75,26 @@
             ),
         )
         server = DatabaseServer(settings, reactor)
-        reactor.callWhenRunning(lambda: self._announce(server.listen(LOOPBACK, port)))
+        reactor.callWhenRunning(lambda: self._print_port(server.listen(LOOPBACK, port)))
         reactor.run()
 
     def relay(self, control_port: int, links: str) -> None:
-        """Run relays that can cut, freeze or delay links.
+        """Run TCP relays that can block, freeze or delay links.
 
         Parameters
         ----------
         control_port : int
-            Port of the route that sets faults.
+            Port of the HTTP route ``/faults``.
         links : str
             ``name=port:target_port,...``, all on the loopback address.
         """
         server = RelayServer(reactor, parse_links(links))
         reactor.callWhenRunning(
-            lambda: self._announce(server.listen(LOOPBACK, control_port))
+            lambda: self._print_port(server.listen(LOOPBACK, control_port))
         )
         reactor.run()
 
-    def _announce(self, port: int) -> None:
+    def _print_port(self, port: int) -> None:
         print_line(json.dumps({"event": "listening", "port": port}))
 
 
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/vm_commands.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/vm_commands.py
@@ -1,4 +1,4 @@
-"""Commands about VMs."""
+"""Commands that drain a VM or show its status."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class VmCommand(OperatorCommand):
-    """The VM at the operator address.
+    """VM at the given operator address.
 
     Example: guavabarrow vm drain --admin 10.0.0.7:7001
     """
 
     def drain(self) -> None:
-        """Stop the VM gracefully: no new work, running work ends."""
+        """Stop the VM gracefully: accept no new requests, complete running ones."""
         try:
             self._client().drain()
         except AdminRequestFailed as error:
@@ -28,13 +28,13 @@
 
 
 class StatusCommand(OperatorCommand):
-    """State of the fleet as one VM sees it.
+    """State of the fleet in the local view of one VM.
 
     Example: guavabarrow status show --admin 10.0.0.7:7001
     """
 
     def show(self) -> None:
-        """Print members, groups and databases."""
+        """Print the VMs of the fleet and the targets of its services."""
         try:
             status = self._client().status()
         except AdminRequestFailed as error:
@@ -46,7 +46,7 @@
 
 
 def print_status(status: VmStatus) -> None:
-    """Print the state of a VM for people."""
+    """Print a VM's status as text."""
     print_line(
         f"{status.vm} in {status.domain}: {status.readiness}, configuration version "
         f"{status.version}, {status.requests_in_progress} requests in progress"
@@ -76,7 +76,7 @@
                 f"{target.role}{' (leaving)' if target.leaving else ''}",
                 target.term,
                 target.index,
-                "unproven" if target.age_s is None else target.age_s,
+                "unknown" if target.age_s is None else target.age_s,
                 f"{target.connections}/{target.permits}",
                 target.queued,
             )
