--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/explain_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/explain_command.py
@@ -32,7 +32,7 @@
     if not explanation.answers:
         fail(
             f"No log line contains {request_id}. Failures are logged in full and "
-            f"successes sampled; {explanation.dropped} lines were dropped by the log limits."
+            f"successes sampled; {explanation.dropped} lines exceeded the log limits."
         )
     print_line("Answers:")
     for line in explanation.answers:
@@ -41,4 +41,4 @@
     for line in explanation.beliefs:
         print_line(f"  {line.describe()}")
     if explanation.dropped:
-        print_line(f"{explanation.dropped} lines were dropped by the log limits.")
+        print_line(f"{explanation.dropped} lines exceeded the log limits.")
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/standins/database_engine.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/standins/database_engine.py
@@ -357,7 +357,7 @@
         self._record_outcome(payload.outcome, entry.index)
 
     def _truncate(self, last_index: int) -> None:
-        """Discard later entries, which were never acknowledged, and rebuild the data."""
+        """Discard later entries, which were never acknowledged; rebuild the data."""
         self._writer.execute("BEGIN IMMEDIATE")
         self._writer.execute("DELETE FROM _gb_log WHERE idx > ?", (last_index,))
         names = self._writer.execute(
