--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/replay_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/replay_command.py
@@ -30,4 +30,4 @@
         )
     if differences:
         fail(f"{len(differences)} differences in {steps} steps")
-    print_line(f"{steps} steps replayed without differences")
+    print_line(f"{steps} steps replayed without a difference")
