--- a/packages/guavabarrow-cli/src/guavabarrow_cli/caller_client.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/caller_client.py
@@ -1,4 +1,4 @@
-"""Asynchronous client of the caller interface, which keeps a session's token."""
+"""Asynchronous client of the caller API that keeps the session token."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 )
 
 if TYPE_CHECKING:
-    from guavabarrow_cli.balancer import Balancer
+    from guavabarrow_cli.readiness_poller import ReadinessPoller
 
-CLIENT_MARGIN_S = 1.0
+RESPONSE_MARGIN_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """What a caller saw.
+    """Response to a caller's request.
 
     Parameters
     ----------
     status : int
-        HTTP status, 0 if the connection broke.
+        HTTP status, 0 if the connection failed.
     body : dict
-        Decoded body.
+        Decoded response body.
     """
 
     status: int
@@ -40,17 +40,17 @@
 
     @property
     def is_ok(self) -> bool:
-        """Whether the request ran and returned its result."""
+        """Whether the request succeeded."""
         return 200 <= self.status < 300
 
     @property
     def code(self) -> str:
-        """Code of the refusal, ``ok`` for a result."""
+        """Problem code of the response, ``ok`` on success."""
         return "ok" if self.is_ok else self.body.get("code", "connection_broken")
 
     @property
     def ran(self) -> str:
-        """Whether the request ran, as the caller was told."""
+        """Execution status that the VM reported."""
         return self.body.get("ran", "outcome_unknown")
 
 
@@ -60,9 +60,9 @@
     Parameters
     ----------
     reactor : object
-        Reactor that owns the sockets.
+        Reactor used for the connections.
     addresses : list of (str, int)
-        VMs at which the session can call.
+        Addresses of the VMs that the session can use.
     key : str
         Key of the team.
     deadline_s : float
@@ -86,13 +86,13 @@
         self._connection_by_index: dict[int, HttpClientConnection] = {}
 
     def roam(self) -> None:
-        """Move to the next VM."""
+        """Switch to the next VM."""
         self.address_index = (self.address_index + 1) % len(self._addresses)
 
-    def avoid(self, balancer: Balancer) -> None:
-        """Move on while the current VM is not ready."""
+    def select_ready_vm(self, readiness: ReadinessPoller) -> None:
+        """Switch to the next ready VM; the current one is kept if none is ready."""
         for _ in self._addresses:
-            if balancer.is_ready(self._addresses[self.address_index]):
+            if readiness.is_ready(self._addresses[self.address_index]):
                 return
             self.roam()
 
@@ -128,16 +128,18 @@
     async def post(
         self, path: str, body: Any, headers: dict[str, str] | None = None
     ) -> CallResult:
-        """Send a request and keep the token of its answer."""
-        sent = {
+        """Send a request and store the session token of the response."""
+        request_headers = {
             "Authorization": f"Bearer {self._key}",
             "Deadline-Ms": f"{self._deadline_s * 1000:.0f}",
             **(headers or {}),
         }
         if self.token is not None:
-            sent["Session-Token"] = self.token
+            request_headers["Session-Token"] = self.token
         try:
-            response = await self._send(path, msgspec.json.encode(body), sent)
+            response = await self._send(
+                path, msgspec.json.encode(body), request_headers
+            )
         except (ConnectionBroken, TimeoutError, CancelledError) as error:
             return CallResult(0, {"code": "connection_broken", "detail": str(error)})
         token = response.headers.get(b"session-token")
@@ -158,6 +160,6 @@
             host, port = self._addresses[self.address_index]
             connection = await open_connection(self._reactor, host, port)
             self._connection_by_index[self.address_index] = connection
-        pending = connection.request("POST", path, body, headers)
-        limit_s = self._deadline_s + CLIENT_MARGIN_S
-        return await pending.addTimeout(limit_s, self._reactor)
+        pending_response = connection.request("POST", path, body, headers)
+        timeout_s = self._deadline_s + RESPONSE_MARGIN_S
+        return await pending_response.addTimeout(timeout_s, self._reactor)
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/load_plan.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/load_plan.py
@@ -1,4 +1,4 @@
-"""Plans of a load: who calls what, how often and from how many sessions."""
+"""Plan of a load: teams, services, arrival rates and sessions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Surge(SettingsModel):
-    """A time in which arrivals come at a multiple of the rate."""
+    """An interval in which the arrival rate is multiplied by a factor."""
 
     factor: Annotated[float, Field(gt=0)]
     at_s: Annotated[float, Field(ge=0)] = 0.0
@@ -27,25 +27,25 @@
     team, key : str
         Team and its key.
     services : list of str
-        Services that are called in turn.
+        Services among which each request chooses at random.
     rate_per_s : float
-        Arrivals per second, whether or not earlier requests were answered.
+        Arrivals per second, independent of the completion of earlier requests.
     sessions : int
-        Sessions; each runs one request at a time.
+        Number of sessions; each runs one request at a time.
     reads : float
         Share of reads among the requests.
     aged_reads : float
-        Share of reads that state an age.
+        Share of reads with a maximum age.
     max_age_ms : float
-        The stated age.
+        Maximum age of these reads, ms.
     roaming : float
-        Share of requests before which the session moves to another VM.
+        Share of requests before which the session switches to another VM.
     repeats : float
         Share of writes that are sent a second time with the same request id.
     transactions : float
         Share of writes that are interactive transactions.
     surge : Surge or None
-        Time with more arrivals.
+        Interval with a different arrival rate.
     """
 
     team: str
@@ -62,7 +62,7 @@
     surge: Surge | None = None
 
     def rate_at(self, elapsed_s: float) -> float:
-        """Return the arrivals per second at a time of the load."""
+        """Return the arrivals per second at a time since the start of the load."""
         surge = self.surge
         if surge is None or not surge.at_s <= elapsed_s < surge.at_s + surge.for_s:
             return self.rate_per_s
@@ -79,11 +79,11 @@
     teams : list of TeamLoad
         Load of each team.
     duration_s : float
-        Duration of the arrivals.
+        Time during which requests arrive, seconds.
     deadline_ms : float
-        Deadline of each request.
+        Deadline of each request, ms.
     seed : int
-        Seed of the arrivals.
+        Seed of arrivals and requests.
     """
 
     addresses: list[str]
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/load_result.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/load_result.py
@@ -1,4 +1,4 @@
-"""Results of a load, per team and as a whole."""
+"""Results of a load, per team and in total."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 from hdrh.histogram import HdrHistogram
 
-LOWEST_US = 1
-HIGHEST_US = 60_000_000
-DIGITS = 3
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 60_000_000
+SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 
 
 def create_histogram() -> HdrHistogram:
-    """Return an empty histogram of microseconds."""
-    return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    """Return an empty latency histogram, microseconds."""
+    return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 @dataclass(slots=True)
 class TeamResult:
-    """What the callers of one team saw.
+    """Results of the callers of one team.
 
-    Latencies are counted from the intended start of each request, so a stalled
-    system cannot hide requests that it kept from being sent.
+    Latencies are measured from the scheduled start of each request. This avoids
+    coordinated omission: a stall also counts for the requests that it delayed.
     """
 
     team: str
@@ -32,29 +32,29 @@
     count_by_source: dict[str, int] = field(default_factory=dict)
     latency: HdrHistogram = field(default_factory=create_histogram)
     admitted: list[tuple[float, float]] = field(default_factory=list)
-    answered_writes: list[tuple[float, str]] = field(default_factory=list)
+    acknowledged_writes: list[tuple[float, str]] = field(default_factory=list)
     timeline: list[tuple[float, str]] = field(default_factory=list)
 
     @property
     def served(self) -> int:
-        """Requests with a result."""
+        """Successful requests."""
         return self.count_by_code.get("ok", 0)
 
     @property
     def served_share(self) -> float:
-        """Share of requests with a result."""
+        """Share of successful requests."""
         return self.served / self.sent if self.sent else 1.0
 
-    def record(self, code: str, *, due_at: float, answered_at: float) -> None:
-        """Count one answer to an arrival that was due at ``due_at``."""
+    def record(self, code: str, *, due_at: float, responded_at: float) -> None:
+        """Record the response to a request that was scheduled for ``due_at``."""
         self.timeline.append((due_at, code))
-        latency_s = answered_at - due_at
+        latency_s = responded_at - due_at
         self.count_by_code[code] = self.count_by_code.get(code, 0) + 1
         latency_us = int(latency_s * 1e6)
-        self.latency.record_value(min(HIGHEST_US, max(LOWEST_US, latency_us)))
+        self.latency.record_value(min(MAX_LATENCY_US, max(MIN_LATENCY_US, latency_us)))
 
     def to_document(self) -> dict[str, Any]:
-        """Return the result as a JSON document; latencies in milliseconds."""
+        """Return the result as a JSON document, latencies in milliseconds."""
         latency = {
             f"p{percentile:g}": self.latency.get_value_at_percentile(percentile) / 1000
             for percentile in PERCENTILES
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """Result of a whole load."""
+    """Result of a load over all teams."""
 
     started_at: float
     duration_s: float
@@ -79,12 +79,12 @@
 
     @property
     def worst_served_share(self) -> float:
-        """Share of requests with a result of the worst-served team."""
+        """Lowest share of successful requests among the teams."""
         return min(result.served_share for result in self.by_team.values())
 
     @property
     def replica_share(self) -> float:
-        """Share of reads that replicas served."""
+        """Share of reads served by replicas."""
         replica = primary = 0
         for result in self.by_team.values():
             replica += result.count_by_source.get("replica", 0)
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/balancer.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/readiness_poller.py
@@ -1,4 +1,4 @@
-"""What the platform's balancer knows: which VMs are ready."""
+"""Polls the readiness of VMs, as the platform's load balancer does."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
     open_connection,
 )
 
-CHECK_S = 0.25
-TIMEOUT_S = 0.5
+POLL_INTERVAL_S = 0.25
+POLL_TIMEOUT_S = 0.5
 
 
-class Balancer:
-    """Polls the readiness of VMs.
+class ReadinessPoller:
+    """Polls ``/readyz`` of each VM; a VM counts as ready until its first poll.
 
     Parameters
     ----------
     reactor : object
-        Reactor that owns the sockets.
+        Reactor used for the connections.
     addresses : list of (str, int)
         Caller addresses of the VMs.
     """
@@ -33,39 +33,39 @@
         self._addresses = addresses
         self._is_ready = dict.fromkeys(addresses, True)
         self._connection_by_address: dict[tuple[str, int], HttpClientConnection] = {}
-        self._loop = LoopingCall(self._check_all)
-        self._loop.clock = reactor
+        self._polling_call = LoopingCall(self._poll_all)
+        self._polling_call.clock = reactor
 
     def start(self) -> None:
-        """Start to poll."""
-        self._loop.start(CHECK_S)
+        """Start polling."""
+        self._polling_call.start(POLL_INTERVAL_S)
 
     def stop(self) -> None:
-        """Stop to poll."""
-        self._loop.stop()
+        """Stop polling and close the connections."""
+        self._polling_call.stop()
         for connection in self._connection_by_address.values():
             connection.abort()
 
     def is_ready(self, address: tuple[str, int]) -> bool:
-        """Tell whether new requests should go to a VM."""
+        """Return whether a VM was ready at its last poll."""
         return self._is_ready[address]
 
-    def _check_all(self) -> Deferred:
-        checks = [
-            Deferred.fromCoroutine(self._check(address)) for address in self._addresses
+    def _poll_all(self) -> Deferred:
+        polls = [
+            Deferred.fromCoroutine(self._poll(address)) for address in self._addresses
         ]
-        return DeferredList(checks)
+        return DeferredList(polls)
 
-    async def _check(self, address: tuple[str, int]) -> None:
+    async def _poll(self, address: tuple[str, int]) -> None:
         connection = self._connection_by_address.get(address)
         try:
             if connection is None or not connection.is_open:
                 connection = await open_connection(
-                    self._reactor, *address, timeout_s=TIMEOUT_S
+                    self._reactor, *address, timeout_s=POLL_TIMEOUT_S
                 )
                 self._connection_by_address[address] = connection
-            pending = connection.request("GET", "/readyz")
-            response = await pending.addTimeout(TIMEOUT_S, self._reactor)
+            pending_response = connection.request("GET", "/readyz")
+            response = await pending_response.addTimeout(POLL_TIMEOUT_S, self._reactor)
         except (ConnectionBroken, TimeoutError):
             self._is_ready[address] = False
             return
