--- a/packages/guavabarrow-cli/src/guavabarrow_cli/experiment_measures.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/experiment_measures.py
@@ -1,4 +1,4 @@
-"""The five measures of the users, taken from the callers' side."""
+"""The users' five measures of service quality, from the results of callers."""
 
 from __future__ import annotations
 
@@ -13,31 +13,34 @@
     from guavabarrow_cli.experiment_plan import ExperimentPlan
     from guavabarrow_cli.load_result import LoadResult
 
-GAP_WINDOW_S = 6.0
-RETURN_WINDOW_S = 3.0
+FAILOVER_WINDOW_S = 6.0
+RECOVERY_WINDOW_S = 3.0
 
 
 @dataclass(frozen=True)
 class Measures:
-    """The five measures of one run.
+    """The five measures and the latency of one run.
 
     Parameters
     ----------
     replica_share : float
         Share of reads served by replicas.
     failover_gap_s : float or None
-        Longest time without an acknowledged write of the service around the kills
-        of its primary, worst of the run.
+        Longest time without an acknowledged write of a service within
+        ``FAILOVER_WINDOW_S`` after its primary is stopped, maximum of the run.
     worst_served_share : float
-        Share of requests with a result of the worst-served team within its rate.
+        Lowest share of successful requests among the teams within their rate.
     wrongful_refusal_share : float
-        Share of requests of teams within their rate refused for their rate.
+        Share of the requests of teams within their rate that were refused with
+        ``rate_exceeded``.
     domain_service_share : float or None
-        Share of requests with a result while a domain leaves and returns.
+        Share of successful requests while a failure domain is out of service and for
+        ``RECOVERY_WINDOW_S`` after it returns.
     teams_above_rate : int
-        Teams that got more than rate and burst in some window; must be 0.
+        Teams whose admitted requests exceed rate and burst in some window; must be 0.
     p50_ms, p99_ms : float
-        Latency of all teams within their rate.
+        Mean of the medians and highest 99th percentile of the latency of the teams
+        within their rate, ms.
     """
 
     replica_share: float
@@ -50,36 +53,48 @@
     p99_ms: float
 
 
-def take_measures(plan: ExperimentPlan, layout: Layout, result: LoadResult) -> Measures:
-    """Return the measures of one run.
+def compute_measures(
+    plan: ExperimentPlan, layout: Layout, result: LoadResult
+) -> Measures:
+    """Compute the measures of one run.
 
     Parameters
     ----------
     plan : ExperimentPlan
-        Names the faults and the greedy team.
+        Plan with the faults and the team that exceeds its rate.
     layout : Layout
-        Rates and bursts of the teams.
+        Layout with the rates and bursts of the teams.
     result : LoadResult
-        What callers saw.
+        Results of the callers.
     """
     greedy = plan.greedy.team if plan.greedy else None
-    within = [team for name, team in result.by_team.items() if name != greedy]
-    sent = sum(team.sent for team in within)
-    refused = sum(team.count_by_code.get("rate_exceeded", 0) for team in within)
+    teams_within_rate = [
+        team for name, team in result.by_team.items() if name != greedy
+    ]
+    sent = sum(team.sent for team in teams_within_rate)
+    rate_refusals = sum(
+        team.count_by_code.get("rate_exceeded", 0) for team in teams_within_rate
+    )
     return Measures(
         replica_share=round(result.replica_share, 4),
-        failover_gap_s=_failover_gap(plan, result),
-        worst_served_share=round(min(team.served_share for team in within), 5),
-        wrongful_refusal_share=round(refused / max(1, sent), 6),
-        domain_service_share=_domain_service(plan, result, greedy),
-        teams_above_rate=_teams_above_rate(layout, result),
-        p50_ms=round(mean(_percentile(team, 50.0) for team in within), 2),
-        p99_ms=round(max(_percentile(team, 99.0) for team in within), 2),
+        failover_gap_s=_longest_write_gap(plan, result),
+        worst_served_share=round(
+            min(team.served_share for team in teams_within_rate), 5
+        ),
+        wrongful_refusal_share=round(rate_refusals / max(1, sent), 6),
+        domain_service_share=_domain_service_share(plan, result, greedy),
+        teams_above_rate=_count_teams_above_rate(layout, result),
+        p50_ms=round(
+            mean(_latency_percentile_ms(team, 50.0) for team in teams_within_rate), 2
+        ),
+        p99_ms=round(
+            max(_latency_percentile_ms(team, 99.0) for team in teams_within_rate), 2
+        ),
     )
 
 
 def summarize(runs: list[Measures]) -> dict[str, dict[str, float]]:
-    """Return mean, lowest and highest value of each measure over the repeats."""
+    """Return mean, minimum and maximum of each measure over the repeats."""
     summary = {}
     for name in asdict(runs[0]):
         values = [getattr(run, name) for run in runs if getattr(run, name) is not None]
@@ -92,26 +107,28 @@
     return summary
 
 
-def _failover_gap(plan: ExperimentPlan, result: LoadResult) -> float | None:
+def _longest_write_gap(plan: ExperimentPlan, result: LoadResult) -> float | None:
     gaps = []
     for fault in plan.faults:
         if fault.kind == "kill_primary":
             times = sorted(
                 time
                 for team in result.by_team.values()
-                for time, service in team.answered_writes
+                for time, service in team.acknowledged_writes
                 if service == fault.subject
             )
             since = result.started_at + fault.at_s
-            marks = [since]
-            marks += [time for time in times if since < time < since + GAP_WINDOW_S]
-            marks.append(since + GAP_WINDOW_S)
-            pairs = zip(marks, marks[1:], strict=False)
+            event_times = [since]
+            event_times += [
+                time for time in times if since < time < since + FAILOVER_WINDOW_S
+            ]
+            event_times.append(since + FAILOVER_WINDOW_S)
+            pairs = zip(event_times, event_times[1:], strict=False)
             gaps.append(max(later - earlier for earlier, later in pairs))
     return round(max(gaps), 3) if gaps else None
 
 
-def _teams_above_rate(layout: Layout, result: LoadResult) -> int:
+def _count_teams_above_rate(layout: Layout, result: LoadResult) -> int:
     return sum(
         bool(
             check_rate(
@@ -124,7 +141,7 @@
     )
 
 
-def _domain_service(
+def _domain_service_share(
     plan: ExperimentPlan, result: LoadResult, greedy: str | None
 ) -> float | None:
     sent = served = 0
@@ -132,7 +149,7 @@
         if fault.kind != "domain_out":
             continue
         since = result.started_at + fault.at_s
-        until = since + fault.for_s + RETURN_WINDOW_S
+        until = since + fault.for_s + RECOVERY_WINDOW_S
         for name, team in result.by_team.items():
             if name == greedy:
                 continue
@@ -142,5 +159,5 @@
     return round(served / sent, 5) if sent else None
 
 
-def _percentile(team: Any, percentile: float) -> float:
+def _latency_percentile_ms(team: Any, percentile: float) -> float:
     return team.latency.get_value_at_percentile(percentile) / 1000
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/experiment_plan.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/experiment_plan.py
@@ -1,4 +1,4 @@
-"""Plans of experiments: a layout, a load, faults, variants and repeats."""
+"""Plan of an experiment: layout, load, faults, variants and seeds."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 
 
 class Fault(SettingsModel):
-    """One fault of the schedule.
+    """A scheduled fault.
 
     Parameters
     ----------
     at_s : float
-        Time after the start of the load.
+        Time after the start of the load, seconds.
     kind : str
         ``kill_primary`` stops the primary of a service and starts it again after
-        ``for_s``; ``domain_out`` takes a failure domain out and back; ``store_down``
-        takes the platform's store down; ``slow`` makes the statements of a service
-        take ``statement_ms``; ``kill_vm`` stops a VM without a drain.
+        ``for_s``; ``domain_out`` takes a failure domain out of service for ``for_s``;
+        ``store_down`` makes the platform's store unavailable for ``for_s``; ``slow``
+        makes the statements of a service take ``statement_ms`` for ``for_s``;
+        ``kill_vm`` stops a VM without a drain and does not restart it.
     subject : str
-        Service, failure domain or VM.
+        Affected service, failure domain or VM.
     for_s : float
-        Duration.
+        Duration, seconds.
     statement_ms : float
-        Only for ``slow``.
+        Statement time during ``slow``, ms.
     """
 
     at_s: Seconds
@@ -39,8 +40,8 @@
     statement_ms: Seconds = 0.0
 
 
-class Greedy(SettingsModel):
-    """A team that sends a multiple of its rate for a while."""
+class GreedyTeam(SettingsModel):
+    """A team that sends a multiple of its rate during an interval."""
 
     team: str
     factor: Annotated[float, Field(gt=1)] = 5.0
@@ -49,30 +50,30 @@
 
 
 class ExperimentPlan(SettingsModel):
-    """An experiment.
+    """An experiment that compares policies under the same load and faults.
 
     Parameters
     ----------
     layout : str
         ``association`` or ``authority``.
     lag_ms, statement_ms : float
-        Behaviour of the databases.
+        Replication lag and statement time of the databases, ms.
     duration_s : float
-        Duration of the load.
+        Duration of the load, seconds.
     load : float
-        Arrivals of each team as a share of its rate.
+        Arrival rate of each team as a share of its allowed rate.
     reads, aged_reads, roaming : float
-        Mix of the requests; see the load plan.
+        Mix of the requests, see :class:`TeamLoad`.
     max_age_ms : float
-        Stated age of aged reads.
+        Maximum age that aged reads accept, ms.
     faults : list of Fault
-        Schedule.
-    greedy : Greedy or None
+        Schedule of the faults.
+    greedy : GreedyTeam or None
         Team that exceeds its rate.
     variants : dict of str to PolicySettings
-        Policies to compare in one run, keyed by name.
+        Policies to compare, keyed by the name of the variant.
     seeds : list of int
-        One repeat of each variant for each seed.
+        Seeds; each variant runs once for each.
     """
 
     layout: Literal["association", "authority"]
@@ -85,6 +86,6 @@
     roaming: Share = 0.3
     max_age_ms: Seconds = 2000.0
     faults: list[Fault] = []
-    greedy: Greedy | None = None
+    greedy: GreedyTeam | None = None
     variants: dict[str, PolicySettings] = {"candidate": PolicySettings()}
     seeds: list[int] = [1]
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/experiment_report.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/experiment_report.py
@@ -1,4 +1,4 @@
-"""Table and plot of an experiment."""
+"""Summary table and plot of an experiment."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PlotUnavailable(GuavabarrowError):
-    """The plotting library is not installed."""
+    """The plotting library of the extra ``plots`` is not installed."""
 
 
 def print_summary(summary_by_variant: dict[str, dict[str, dict[str, float]]]) -> None:
@@ -33,7 +33,7 @@
 def save_plot(
     summary_by_variant: dict[str, dict[str, dict[str, float]]], path: str, title: str
 ) -> None:
-    """Save bars with spread, one panel for each measure, as PNG or SVG.
+    """Save a bar chart with error bars, one panel for each measure, as PNG or SVG.
 
     Raises
     ------
@@ -51,22 +51,24 @@
     figure.suptitle(title)
     panels = figure.subplots(1, len(measures), squeeze=False)[0]
     for panel, measure in zip(panels, measures, strict=True):
-        _draw(panel, measure, summary_by_variant)
+        _draw_bars(panel, measure, summary_by_variant)
     figure.savefig(path)
 
 
-def _draw(
+def _draw_bars(
     panel: Any, measure: str, summary_by_variant: dict[str, dict[str, dict[str, float]]]
 ) -> None:
-    names, means, below, above = [], [], [], []
+    names, means, lower_errors, upper_errors = [], [], [], []
     for variant, summary in summary_by_variant.items():
         values = summary.get(measure)
         if values is None:
             continue
         names.append(variant)
         means.append(values["mean"])
-        below.append(values["mean"] - values["min"])
-        above.append(values["max"] - values["mean"])
-    panel.bar(names, means, yerr=(below, above), capsize=4, color="#6b8fb5")
+        lower_errors.append(values["mean"] - values["min"])
+        upper_errors.append(values["max"] - values["mean"])
+    panel.bar(
+        names, means, yerr=(lower_errors, upper_errors), capsize=4, color="#6b8fb5"
+    )
     panel.set_title(measure, fontsize=9)
     panel.tick_params(axis="x", labelrotation=20, labelsize=8)
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/experiment_runner.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/experiment_runner.py
@@ -1,4 +1,4 @@
-"""Runs an experiment on embedded fleets, one after the other."""
+"""Runs an experiment sequentially, with a new embedded fleet for each run."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from twisted.internet.task import deferLater
 
 from guavabarrow_cli.embedded_fleet import EmbeddedFleet
-from guavabarrow_cli.experiment_measures import Measures, take_measures
+from guavabarrow_cli.experiment_measures import Measures, compute_measures
 from guavabarrow_cli.layouts import create_layout
 from guavabarrow_cli.load_plan import LoadPlan, Surge, TeamLoad
 from guavabarrow_cli.load_runner import LoadRunner
@@ -27,50 +27,50 @@
     from guavabarrow_daemon.entry_vm import EntryVm
     from guavabarrow_daemon.settings import PolicySettings
 
-SETTLE_S = 2.0
+WARM_UP_S = 2.0
 
 
 class ExperimentFailed(GuavabarrowError):
-    """A fault could not be injected as planned."""
+    """A fault could not be injected."""
 
 
 class ExperimentRunner:
-    """Runs all variants and repeats of a plan.
+    """Runs each variant of a plan once for each seed.
 
     Parameters
     ----------
     plan : ExperimentPlan
-        What to do.
+        Plan to run.
     reactor : object
-        Reactor that owns everything.
-    on_run : callable
-        Called with variant, seed and measures of each run.
+        Reactor on which the fleets run.
+    on_run_complete : callable
+        Called after each run with variant, seed and measures.
     """
 
     def __init__(
         self,
         plan: ExperimentPlan,
         reactor: Any,
-        on_run: Callable[[str, int, Measures], None],
+        on_run_complete: Callable[[str, int, Measures], None],
     ) -> None:
         self._plan = plan
         self._reactor = reactor
-        self._on_run = on_run
+        self._on_run_complete = on_run_complete
 
     async def run(self) -> dict[str, list[Measures]]:
-        """Run everything; variants alternate, so that noise hits all alike.
+        """Run all variants, alternating, so that noise affects all of them equally.
 
         Returns
         -------
         dict of str to list of Measures
-            Runs in order of the seeds, keyed by variant.
+            Measures in order of the seeds, keyed by variant.
         """
         runs: dict[str, list[Measures]] = {name: [] for name in self._plan.variants}
         for seed in self._plan.seeds:
             for name, policies in self._plan.variants.items():
                 measures = await self._run_once(policies, seed)
                 runs[name].append(measures)
-                self._on_run(name, seed, measures)
+                self._on_run_complete(name, seed, measures)
         return runs
 
     async def _run_once(self, policies: PolicySettings, seed: int) -> Measures:
@@ -81,19 +81,19 @@
         layout = replace(layout, policies=policies.model_dump())
         fleet = EmbeddedFleet(layout, self._reactor)
         await fleet.start()
-        await self._sleep(SETTLE_S)
-        runner = LoadRunner(self._load_plan(fleet, seed), self._reactor)
-        pending = [
-            Deferred.fromCoroutine(self._inject(fleet, runner, fault))
+        await self._sleep(WARM_UP_S)
+        runner = LoadRunner(self._create_load_plan(fleet, seed), self._reactor)
+        injections = [
+            Deferred.fromCoroutine(self._inject_fault(fleet, runner, fault))
             for fault in plan.faults
         ]
         result = await runner.run()
-        for fault in pending:
-            await fault
+        for injection in injections:
+            await injection
         await fleet.stop()
-        return take_measures(plan, layout, result)
+        return compute_measures(plan, layout, result)
 
-    def _load_plan(self, fleet: EmbeddedFleet, seed: int) -> LoadPlan:
+    def _create_load_plan(self, fleet: EmbeddedFleet, seed: int) -> LoadPlan:
         plan = self._plan
         teams = []
         for team in fleet.layout.teams:
@@ -125,7 +125,7 @@
             addresses=addresses, teams=teams, duration_s=plan.duration_s, seed=seed
         )
 
-    async def _inject(
+    async def _inject_fault(
         self, fleet: EmbeddedFleet, runner: LoadRunner, fault: Fault
     ) -> None:
         await runner.started
@@ -134,45 +134,47 @@
             case "kill_primary":
                 await self._kill_primary(fleet, fault)
             case "domain_out":
-                await self._domain_out(fleet, fault)
+                await self._take_domain_out(fleet, fault)
             case "store_down":
                 fleet.platform.faults.down = True
                 await self._sleep(fault.for_s)
                 fleet.platform.faults.down = False
             case "slow":
-                await self._slow(fleet, fault)
+                await self._slow_statements(fleet, fault)
             case "kill_vm":
                 await fleet.stop_vm(fault.subject)
 
     async def _kill_primary(self, fleet: EmbeddedFleet, fault: Fault) -> None:
-        group = self._any_vm(fleet).kernel.find(GroupService).find(fault.subject)
+        group = self._first_vm(fleet).kernel.find(GroupService).find(fault.subject)
         primary = group.view.primary
         if primary is None:
-            raise ExperimentFailed(f"{fault.subject} has no primary to kill.")
+            raise ExperimentFailed(f"{fault.subject} has no primary to stop.")
         await fleet.stop_database(primary.database)
         await self._sleep(fault.for_s)
         fleet.restart_database(primary.database)
 
-    async def _domain_out(self, fleet: EmbeddedFleet, fault: Fault) -> None:
-        out = SetDomainState(fault.subject, DomainState.OUT_OF_SERVICE)
-        await self._change(fleet, out)
+    async def _take_domain_out(self, fleet: EmbeddedFleet, fault: Fault) -> None:
+        out_of_service = SetDomainState(fault.subject, DomainState.OUT_OF_SERVICE)
+        await self._apply_change(fleet, out_of_service)
         await self._sleep(fault.for_s)
-        await self._change(fleet, SetDomainState(fault.subject, DomainState.IN_SERVICE))
+        await self._apply_change(
+            fleet, SetDomainState(fault.subject, DomainState.IN_SERVICE)
+        )
 
-    async def _slow(self, fleet: EmbeddedFleet, fault: Fault) -> None:
-        slow = [
+    async def _slow_statements(self, fleet: EmbeddedFleet, fault: Fault) -> None:
+        databases = [
             database
             for name, database in fleet.database_by_name.items()
             if name.startswith(fault.subject)
         ]
-        for database in slow:
+        for database in databases:
             database.faults.statement_ms = fault.statement_ms
         await self._sleep(fault.for_s)
-        for database in slow:
+        for database in databases:
             database.faults.statement_ms = self._plan.statement_ms
 
-    async def _change(self, fleet: EmbeddedFleet, change: Change) -> None:
-        configuration = self._any_vm(fleet).kernel.find(ConfigurationService)
+    async def _apply_change(self, fleet: EmbeddedFleet, change: Change) -> None:
+        configuration = self._first_vm(fleet).kernel.find(ConfigurationService)
         await configuration.change(
             (change,),
             base_version=None,
@@ -180,7 +182,7 @@
             author="experiment",
         )
 
-    def _any_vm(self, fleet: EmbeddedFleet) -> EntryVm:
+    def _first_vm(self, fleet: EmbeddedFleet) -> EntryVm:
         return next(iter(fleet.vm_by_name.values()))
 
     def _sleep(self, duration_s: float) -> Deferred[None]:
