--- a/packages/guavabarrow-cli/src/guavabarrow_cli/__init__.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/__init__.py
@@ -1,1 +1,1 @@
-"""Operator commands, stand-ins and load tool of guavabarrow."""
+"""Command line of guavabarrow: operator commands, stand-ins, load and experiments."""
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/admin_client.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Client of the operator interface of a VM."""
+"""Client of the admin API of a VM."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 if TYPE_CHECKING:
     from guavabarrow_core.fleet_change import Change
 
-TIMEOUT_S = 15.0
-IN_FORCE_LIMIT_S = 4.0
-POLL_S = 0.1
+REQUEST_TIMEOUT_S = 15.0
+APPLY_TIMEOUT_S = 4.0
+POLL_INTERVAL_S = 0.1
 
 
 class AdminRequestFailed(GuavabarrowError):
-    """A VM refused an operator's request or could not be reached.
+    """A VM rejected an admin request or could not be reached.
 
     Parameters
     ----------
     code : str
-        Stable name of the failure.
+        Stable identifier of the failure.
     detail : str
         What happened and what to do.
     """
@@ -46,18 +46,18 @@
 
 @dataclass(frozen=True)
 class ChangeReport:
-    """Where a change is in force.
+    """VMs at which a change is applied.
 
     Parameters
     ----------
     version : int
-        Version that holds the change.
+        Configuration version that contains the change.
     in_force : list of str
-        VMs that apply it.
+        VMs that have applied it.
     missing : list of str
-        VMs, alive or not heard of lately, that do not apply it as far as is known.
+        VMs, alive or without recent contact, whose last reported version is older.
     seconds : float
-        Time from the request until it was in force or given up waiting for.
+        Time from the request until every VM had applied it or the wait timed out.
     """
 
     version: int
@@ -67,14 +67,14 @@
 
 
 class AdminClient:
-    """Blocking client.
+    """Blocking client of the admin API.
 
     Parameters
     ----------
     address : str
-        ``ip:port`` of the operator interface of any VM.
+        ``ip:port`` of the admin API of any VM.
     secret : str
-        Operators' secret.
+        Admin secret.
     """
 
     def __init__(self, address: str, secret: str) -> None:
@@ -82,11 +82,11 @@
         self._headers = {"Authorization": f"Bearer {secret}"}
 
     def fleet(self) -> Fleet:
-        """Return the configuration in force at the VM."""
+        """Return the VM's current configuration."""
         return decode_fleet(self._request("GET", "/admin/v1/fleet"))
 
     def status(self) -> VmStatus:
-        """Return the state of the VM and of the fleet as it sees it."""
+        """Return the state of the VM and its view of the fleet."""
         return msgspec.json.decode(
             self._request("GET", "/admin/v1/status"), type=VmStatus
         )
@@ -96,7 +96,7 @@
         return self._request("GET", "/metrics").decode()
 
     def drain(self) -> None:
-        """Ask the VM to drain and end."""
+        """Request that the VM drain and exit."""
         self._request("POST", "/admin/v1/drain")
 
     def change(
@@ -107,33 +107,33 @@
         operation_id: str | None = None,
         base_version: int | None = None,
     ) -> ChangeReport:
-        """Make a change and wait until it is in force.
+        """Submit changes and wait until every VM has applied them.
 
         Parameters
         ----------
         changes : list of Change
-            Applied all or none.
+            Applied atomically.
         author : str
-            Who makes the change.
+            Author recorded with the change.
         operation_id : str, optional
-            Repeat with the same id after a lost answer.
+            Id for retries: a repeat after a lost response uses the same id.
         base_version : int, optional
-            Fails if the configuration has changed since.
+            The change fails if the configuration has changed since this version.
 
         Returns
         -------
         ChangeReport
-            Names the VMs that do not apply it yet.
+            Lists the VMs that have not applied the changes after ``APPLY_TIMEOUT_S``.
         """
         started_at = time.monotonic()
         body = ChangeRequest(
             changes, operation_id or str(uuid4()), author, base_version
         )
-        answer = self._request("POST", "/admin/v1/changes", msgspec.json.encode(body))
-        version = msgspec.json.decode(answer, type=ChangeAnswer).version
-        return self._wait_in_force(version, started_at)
+        response = self._request("POST", "/admin/v1/changes", msgspec.json.encode(body))
+        version = msgspec.json.decode(response, type=ChangeAnswer).version
+        return self._wait_until_applied(version, started_at)
 
-    def _wait_in_force(self, version: int, started_at: float) -> ChangeReport:
+    def _wait_until_applied(self, version: int, started_at: float) -> ChangeReport:
         while True:
             status = self.status()
             in_force = [
@@ -143,30 +143,30 @@
                 member.vm for member in status.members if member.version < version
             ]
             elapsed_s = time.monotonic() - started_at
-            if not missing or elapsed_s >= IN_FORCE_LIMIT_S:
+            if not missing or elapsed_s >= APPLY_TIMEOUT_S:
                 return ChangeReport(version, in_force, missing, round(elapsed_s, 3))
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
 
     def _request(self, method: str, path: str, body: bytes = b"") -> bytes:
-        connection = HTTPConnection(self._address, timeout=TIMEOUT_S)
+        connection = HTTPConnection(self._address, timeout=REQUEST_TIMEOUT_S)
         try:
             connection.request(method, path, body, self._headers)
             response = connection.getresponse()
             content = response.read()
         except (OSError, HTTPException) as error:
             raise AdminRequestFailed(
-                "unreachable", f"{self._address} does not answer: {error}"
+                "unreachable", f"no response from {self._address}: {error}"
             ) from error
         finally:
             connection.close()
         if response.status < 300:
             return content
-        raise _failure(response.status, content)
+        raise _parse_failure(response.status, content)
 
 
-def _failure(status: int, content: bytes) -> AdminRequestFailed:
+def _parse_failure(status: int, content: bytes) -> AdminRequestFailed:
     try:
         problem: Any = msgspec.json.decode(content, type=AdminProblem)
     except msgspec.MsgspecError:
-        return AdminRequestFailed(f"http_{status}", "The VM refused the request.")
+        return AdminRequestFailed(f"http_{status}", "The VM rejected the request.")
     return AdminRequestFailed(problem.code, problem.detail)
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/burn_report.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/burn_report.py
@@ -1,4 +1,4 @@
-"""Report on service-level burn per team, from the metrics of the VMs."""
+"""Report of error budget burn rates per team, from the metrics of the VMs."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 SERVED = Objective("served", 0.999)
 FAST = Objective("answered within 0.1 s", 0.99)
 OBJECTIVES = (SERVED, FAST)
-CALLERS_OWN_CODES = frozenset(
+CALLER_ERROR_CODES = frozenset(
     {
         "bad_request",
         "bad_session_token",
@@ -33,25 +33,25 @@
         "unknown_transaction",
     }
 )
-LATENCY_LIMIT = "0.1"
+LATENCY_BUCKET = "0.1"
 BAR_WIDTH_PX = 300
-FULL_BAR_BURN = 20.0
+FULL_BAR_BURN_RATE = 20.0
 
 
 @dataclass(frozen=True)
 class BurnRow:
-    """Burn of one team and objective over several windows.
+    """Burn rates of one team and objective over several windows.
 
     Parameters
     ----------
     team, objective : str
-        What is judged.
+        Team and objective that are evaluated.
     target : float
-        Promised share.
+        Share of good requests that the objective requires.
     burn_by_window : dict of str to float
-        Burn rate, keyed by window.
+        Error budget burn rate, keyed by window.
     alert : str
-        What an operator should do.
+        Alert level with the recommended action.
     """
 
     team: str
@@ -62,12 +62,12 @@
 
 
 class BurnReport:
-    """Collects metrics of several VMs and judges the objectives.
+    """Collects metrics of several VMs and evaluates the objectives.
 
     Parameters
     ----------
     windows_s : tuple of float
-        Windows, the longest last.
+        Windows over which burn rates are computed, the longest last.
     """
 
     def __init__(self, windows_s: tuple[float, ...]) -> None:
@@ -75,26 +75,26 @@
         self._tracker_by_key: dict[tuple[str, str], BurnTracker] = {}
 
     def add(self, at: float, texts: Iterable[str]) -> None:
-        """Add the metrics of all VMs at one time.
+        """Add one sample of the metrics of all VMs.
 
         Parameters
         ----------
         at : float
-            Time, seconds.
+            Time of the sample, seconds.
         texts : iterable of str
             Metrics in the Prometheus text format, one for each VM.
         """
         good: dict[tuple[str, str], float] = {}
         total: dict[tuple[str, str], float] = {}
         for text in texts:
-            _count(text, good, total)
+            _accumulate(text, good, total)
         for key, count in total.items():
             objective = next(item for item in OBJECTIVES if item.name == key[1])
             tracker = self._tracker_by_key.setdefault(key, BurnTracker(objective))
             tracker.add(Sample(at, good.get(key, 0.0), count))
 
     def rows(self) -> list[BurnRow]:
-        """Return the judgement, the fastest burn first."""
+        """Return the burn rates, the fastest first."""
         rows = []
         for (team, _), tracker in self._tracker_by_key.items():
             burns = {
@@ -113,7 +113,7 @@
         return sorted(rows, key=lambda row: -max(row.burn_by_window.values()))
 
     def to_html(self) -> str:
-        """Return a page with a bar for each row."""
+        """Return an HTML page with a bar for each row."""
         body = "\n".join(_html_row(row) for row in self.rows())
         return (
             "<!doctype html><meta charset='utf-8'><title>Service-level burn</title>"
@@ -128,14 +128,14 @@
     return [asdict(row) for row in rows]
 
 
-def _count(
+def _accumulate(
     text: str, good: dict[tuple[str, str], float], total: dict[tuple[str, str], float]
 ) -> None:
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
             team = sample.labels.get("team", "")
             code = sample.labels.get("code", sample.labels.get("kind", ""))
-            if code in CALLERS_OWN_CODES:
+            if code in CALLER_ERROR_CODES:
                 continue
             if sample.name == "guavabarrow_requests_total":
                 key = (team, SERVED.name)
@@ -145,14 +145,14 @@
             elif sample.name == "guavabarrow_request_seconds_count":
                 key = (team, FAST.name)
                 total[key] = total.get(key, 0.0) + sample.value
-            elif _is_fast_answer(sample, code):
+            elif _is_fast_response(sample, code):
                 key = (team, FAST.name)
                 good[key] = good.get(key, 0.0) + sample.value
 
 
-def _is_fast_answer(sample: Any, code: str) -> bool:
+def _is_fast_response(sample: Any, code: str) -> bool:
     is_bucket = sample.name == "guavabarrow_request_seconds_bucket"
-    return is_bucket and code == "ok" and sample.labels.get("le") == LATENCY_LIMIT
+    return is_bucket and code == "ok" and sample.labels.get("le") == LATENCY_BUCKET
 
 
 def _html_row(row: BurnRow) -> str:
@@ -160,7 +160,7 @@
         f"{window}: {burn:g}" for window, burn in row.burn_by_window.items()
     )
     longest = list(row.burn_by_window.values())[-1]
-    width = min(1.0, longest / FULL_BAR_BURN) * BAR_WIDTH_PX
+    width = min(1.0, longest / FULL_BAR_BURN_RATE) * BAR_WIDTH_PX
     color = "#c0392b" if row.alert.startswith("fast") else "#6b8fb5"
     bar = (
         f"<svg width='{BAR_WIDTH_PX}' height='14'>"
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/console.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/console.py
@@ -1,4 +1,4 @@
-"""Output of the commands: tables for people, JSON for programs, exit codes."""
+"""Output of the commands: tables, JSON and exit codes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def print_line(text: str) -> None:
-    """Print one line at once."""
+    """Print one line and flush the output."""
     sys.stdout.write(text + "\n")
     sys.stdout.flush()
 
@@ -44,6 +44,6 @@
 
 
 def fail(message: str, exit_code: int = EXIT_FAILED) -> NoReturn:
-    """Print a message on standard error and end."""
+    """Print a message to standard error and exit."""
     sys.stderr.write(message + "\n")
     sys.exit(exit_code)
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/fleet_file.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/fleet_file.py
@@ -1,4 +1,4 @@
-"""Fleet files: the wanted configuration of a whole fleet, in JSON with comments."""
+"""Fleet files: the desired configuration of a fleet, in JSON with comments."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 class TemplateModel(SettingsModel):
-    """Default parameters of teams."""
+    """Default parameters of the teams that use the template."""
 
     name: Name
     rate_per_s: Positive = 100.0
@@ -72,7 +72,7 @@
 
 
 class TeamModel(SettingsModel):
-    """A team and its overrides; keys are given by command, never in a file."""
+    """A team and its overrides; keys are created by command, never stored in a file."""
 
     name: Name
     template: Name
@@ -84,7 +84,7 @@
 
 
 class OpenRouteModel(SettingsModel):
-    """A read that needs no key."""
+    """A read statement that callers can run without a key."""
 
     name: Name
     service: Name
@@ -102,33 +102,33 @@
 
     @model_validator(mode="after")
     def _check_references(self) -> FleetFile:
-        mistakes = self._reference_mistakes()
-        if mistakes:
-            raise ValueError("; ".join(mistakes))
+        errors = self._find_reference_errors()
+        if errors:
+            raise ValueError("; ".join(errors))
         return self
 
-    def _reference_mistakes(self) -> list[str]:
+    def _find_reference_errors(self) -> list[str]:
         domains = {domain.name for domain in self.domains}
         services = {service.name for service in self.services}
         templates = {template.name for template in self.templates}
-        mistakes = [
+        errors = [
             f"target {target.name}: domain {target.domain!r} is not listed"
             for service in self.services
             for target in service.targets
             if target.domain not in domains
         ]
-        mistakes += [
+        errors += [
             f"team {team.name}: template {team.template!r} is not listed"
             for team in self.teams
             if team.template not in templates
         ]
-        mistakes += [
+        errors += [
             f"team {team.name}: service {name!r} is not listed"
             for team in self.teams
             for name in team.services
             if name not in services
         ]
-        return mistakes
+        return errors
 
     @classmethod
     def from_file(cls, path: str) -> FleetFile:
@@ -137,7 +137,7 @@
         Raises
         ------
         SettingsError
-            Lists all mistakes at once.
+            Lists all errors of the file.
         """
         try:
             document = jsonc.loads(Path(path).read_text(encoding="utf-8"))
@@ -150,33 +150,33 @@
             raise SettingsError(describe_mistakes(path, error)) from error
         except ValueError as error:
             raise SettingsError(
-                [f"{path}: is not JSON with comments: {error}"]
+                [f"{path}: is not valid JSON with comments: {error}"]
             ) from error
 
     def to_changes(self) -> tuple[Change, ...]:
-        """Return the changes that bring the file's content into force."""
+        """Return the changes that apply the file's content to a fleet."""
         changes: list[Change] = [
             PutDomain(FailureDomain(domain.name, domain.region))
             for domain in self.domains
         ]
-        changes += [PutService(_service(service)) for service in self.services]
+        changes += [PutService(_create_service(service)) for service in self.services]
         changes += [
             PutTemplate(Template(**template.model_dump()))
             for template in self.templates
         ]
-        changes += [PutTeam(_team(team)) for team in self.teams]
+        changes += [PutTeam(_create_team(team)) for team in self.teams]
         changes += [
             PutOpenRoute(OpenRoute(**route.model_dump())) for route in self.open_routes
         ]
         return tuple(changes)
 
 
-def _service(model: ServiceModel) -> Service:
+def _create_service(model: ServiceModel) -> Service:
     targets = tuple(Target(**target.model_dump()) for target in model.targets)
     return Service(model.name, targets, model.connections, model.slots)
 
 
-def _team(model: TeamModel) -> Team:
+def _create_team(model: TeamModel) -> Team:
     values = model.model_dump()
     values["services"] = tuple(model.services)
     return Team(**values)
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/log_search.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/log_search.py
@@ -1,4 +1,4 @@
-"""Finds what VMs logged about one request, and the beliefs that it relied on."""
+"""Finds the log lines of a request and earlier changes of the VMs' local views."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-BELIEF_EVENTS = frozenset(
+VIEW_EVENTS = frozenset(
     {
         "configuration_in_force",
         "drain_begun",
@@ -34,18 +34,18 @@
         "target_unreachable",
     }
 )
-"""Events that change what a VM believes."""
+"""Events that change a VM's local view of the fleet."""
 
-BELIEF_WINDOW_S = 10.0
-"""How far back beliefs are shown."""
+VIEW_WINDOW_S = 10.0
+"""Changes up to this long before a request's line are shown, seconds."""
 
-MAX_BELIEFS = 200
-"""Beliefs kept for each VM while reading."""
+MAX_VIEW_EVENTS = 200
+"""Number of latest changes kept for each VM while reading."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One structured line."""
+    """A structured log line."""
 
     at: float
     vm: str
@@ -53,7 +53,7 @@
     fields: dict[str, object]
 
     def describe(self) -> str:
-        """Return the line as text.
+        """Format the line as text.
 
         Examples
         --------
@@ -66,20 +66,20 @@
 
 @dataclass(slots=True)
 class Explanation:
-    """What is known of one request.
+    """Log lines that explain one request.
 
     Parameters
     ----------
     request_id : str
-        Its id.
+        Id of the request.
     answers : list of LogLine
-        Lines that name it, in order of time.
+        Lines with its id, in order of time.
     beliefs : list of LogLine
-        Changes of belief before them at the VMs that answered.
+        Changes of the local view before these lines at the same VMs.
     unreadable : int
-        Lines that are no structured log.
+        Number of lines that are not structured log lines.
     dropped : int
-        Lines that VMs left out because of their bound.
+        Number of lines that VMs dropped because of the log's rate limit.
     """
 
     request_id: str
@@ -90,9 +90,9 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return a structured line, None if it is none.
+    """Parse a structured log line; None if the text is not one.
 
-    A prefix that a collector put before the JSON document is ignored.
+    A prefix that a log collector adds before the JSON document is ignored.
 
     Examples
     --------
@@ -113,22 +113,22 @@
 
 
 def explain_request(request_id: str, lines: Iterable[str]) -> Explanation:
-    """Collect what lines of several VMs tell about a request.
+    """Collect the log lines of several VMs that explain a request.
 
     Parameters
     ----------
     request_id : str
-        Id under which the caller sent it.
+        Id with which the caller sent it.
     lines : iterable of str
-        Log lines, in order for each VM.
+        Log lines, in chronological order for each VM.
 
     Returns
     -------
     Explanation
-        Without answers if no line names the request.
+        Without answers if no line contains the request's id.
     """
     explanation = Explanation(request_id)
-    beliefs_by_vm: dict[str, deque[LogLine]] = {}
+    view_events_by_vm: dict[str, deque[LogLine]] = {}
     for text in lines:
         line = parse_line(text)
         if line is None:
@@ -136,15 +136,19 @@
             continue
         dropped = line.fields.get("dropped_lines", 0)
         explanation.dropped += dropped if isinstance(dropped, int) else 0
-        beliefs = beliefs_by_vm.setdefault(line.vm, deque(maxlen=MAX_BELIEFS))
+        recent_changes = view_events_by_vm.setdefault(
+            line.vm, deque(maxlen=MAX_VIEW_EVENTS)
+        )
         if line.fields.get("request") == request_id:
             explanation.answers.append(line)
             explanation.beliefs += [
-                belief for belief in beliefs if line.at - belief.at <= BELIEF_WINDOW_S
+                change
+                for change in recent_changes
+                if line.at - change.at <= VIEW_WINDOW_S
             ]
-            beliefs.clear()
-        elif line.event in BELIEF_EVENTS:
-            beliefs.append(line)
+            recent_changes.clear()
+        elif line.event in VIEW_EVENTS:
+            recent_changes.append(line)
     explanation.answers.sort(key=lambda line: line.at)
     explanation.beliefs.sort(key=lambda line: line.at)
     return explanation
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/main.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/main.py
@@ -1,4 +1,4 @@
-"""Binary ``guavabarrow``."""
+"""Entry point of the command ``guavabarrow``."""
 
 from __future__ import annotations
 
