--- a/packages/guavabarrow-cli/src/guavabarrow_cli/demo.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/demo.py
@@ -1,4 +1,4 @@
-"""Demonstration: what callers and operators see while things fail."""
+"""Demonstration of what callers and operators observe during failures."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
     ),
     lag_ms=50.0,
 )
-KEY_LIMIT_S = 4.0
+KEY_WITHDRAWAL_TIMEOUT_S = 4.0
 
 
 class DemoFailed(GuavabarrowError):
-    """A step of the demonstration did not go as promised."""
+    """A step of the demonstration did not give the expected result."""
 
 
 class Demo:
@@ -51,13 +51,13 @@
     Parameters
     ----------
     reactor : object
-        Reactor that owns everything.
+        Reactor on which the fleet runs.
     """
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
         self._fleet = EmbeddedFleet(DEMO_LAYOUT, reactor)
-        self._step = 0
+        self._step_number = 0
 
     async def run(self) -> None:
         """Run all steps.
@@ -65,24 +65,24 @@
         Raises
         ------
         DemoFailed
-            If a promise was not kept.
+            If a step did not give the expected result.
         """
         await self._fleet.start()
-        self._say("Started: platform, 6 databases in 2 groups, 3 entry VMs.")
-        session = self._session(0)
+        self._print_step("Started: platform, 6 databases in 2 groups, 3 entry VMs.")
+        session = self._create_session(0)
         try:
-            await self._deposit(session)
-            await self._read_elsewhere(session)
-            await self._repeat(session)
-            await self._promotion(session)
-            await self._customer_hall()
-            await self._withdraw(session)
+            await self._write_deposit(session)
+            await self._read_through_other_vm(session)
+            await self._repeat_write(session)
+            await self._fail_over(session)
+            await self._read_with_max_age()
+            await self._withdraw_key(session)
         finally:
             session.close()
             await self._fleet.stop()
-        print_line("All steps went as promised.")
+        print_line("All steps passed.")
 
-    async def _deposit(self, session: CallerSession) -> None:
+    async def _write_deposit(self, session: CallerSession) -> None:
         await self._expect_ok(
             session.write(
                 "orders-db",
@@ -94,23 +94,23 @@
                 "orders-db", "INSERT INTO deposit VALUES (?, ?)", ["asha", 45000]
             )
         )
-        self._say(
+        self._print_step(
             f"Deposit through vm-1: {result.body['row_count']} row, acknowledged once "
             "2 of 3 databases hold it."
         )
 
-    async def _read_elsewhere(self, session: CallerSession) -> None:
+    async def _read_through_other_vm(self, session: CallerSession) -> None:
         session.roam()
         result = await self._expect_ok(
             session.read("orders-db", "SELECT builder, shilling FROM deposit")
         )
         self._check(result.body["rows"] == [["asha", 45000]], "read-your-writes")
-        self._say(
+        self._print_step(
             f"Read through vm-2 with the session token: {result.body['rows']} from a "
             f"{result.body['source']}, although replication lags 50 ms."
         )
 
-    async def _repeat(self, session: CallerSession) -> None:
+    async def _repeat_write(self, session: CallerSession) -> None:
         request_id = create_request_id(time.time())
         sql = "UPDATE deposit SET shilling = shilling + 5000"
         for _ in range(2):
@@ -123,16 +123,16 @@
             )
         ).body["rows"]
         self._check(rows == [[50000]], "at-most-once")
-        self._say(
+        self._print_step(
             "Sent the same top-up twice: the repeat was answered from its record "
             f"(replayed: {result.body['replayed']}), the balance is {rows[0][0]}."
         )
 
-    async def _promotion(self, session: CallerSession) -> None:
+    async def _fail_over(self, session: CallerSession) -> None:
         group = self._group("vm-1", "orders-db")
         primary = group.view.primary
         if primary is None:
-            raise DemoFailed("The group has no primary.")
+            raise DemoFailed("The group orders-db has no primary.")
         await self._fleet.stop_database(primary.database)
         started_at = self._reactor.seconds()
         await self._expect_ok(
@@ -142,16 +142,16 @@
         result = await self._expect_ok(
             session.read("orders-db", "SELECT COUNT(*) FROM deposit")
         )
-        self._check(result.body["rows"] == [[2]], "no acknowledged write is lost")
+        self._check(result.body["rows"] == [[2]], "no acknowledged write to be lost")
         successor = group.view.primary
         name = successor.database if successor else "nobody"
-        self._say(
+        self._print_step(
             f"Stopped the primary {primary.database}: {name} was promoted, and the "
             f"next deposit was acknowledged after {gap_ms:.0f} ms. Nothing was lost."
         )
 
-    async def _customer_hall(self) -> None:
-        session = self._session(2, team=1)
+    async def _read_with_max_age(self) -> None:
+        session = self._create_session(2, team=1)
         await self._expect_ok(
             session.write("customer-core", "CREATE TABLE account (meter TEXT)")
         )
@@ -159,12 +159,12 @@
             session.read("customer-core", "SELECT COUNT(*) FROM account")
         )
         session.close()
-        self._say(
+        self._print_step(
             "The customer hall reads data of a stated age (2 s) from a "
             f"{result.body['source']}."
         )
 
-    async def _withdraw(self, session: CallerSession) -> None:
+    async def _withdraw_key(self, session: CallerSession) -> None:
         vm = self._fleet.vm_by_name["vm-3"]
         started_at = self._reactor.seconds()
         await vm.kernel.find(ConfigurationService).change(
@@ -178,21 +178,28 @@
             elapsed_s = self._reactor.seconds() - started_at
             if result.status == 401:
                 break
-            self._check(elapsed_s < KEY_LIMIT_S, "a withdrawn key stops working")
+            self._check(
+                elapsed_s < KEY_WITHDRAWAL_TIMEOUT_S,
+                "the withdrawn key to be rejected in time",
+            )
             await deferLater(self._reactor, 0.02, lambda: None)
-        self._say(
+        self._print_step(
             "Withdrew the key at vm-3: the caller that stayed connected to another VM "
             f"was refused after {elapsed_s * 1000:.0f} ms ({result.code}, "
             f"{result.ran})."
         )
 
-    def _session(self, first: int, *, team: int = 0) -> CallerSession:
+    def _create_session(self, first_vm_index: int, *, team: int = 0) -> CallerSession:
         names = list(self._fleet.settings_by_vm)
         addresses = [
-            self._fleet.caller_address(name) for name in names[first:] + names[:first]
+            self._fleet.caller_address(name)
+            for name in names[first_vm_index:] + names[:first_vm_index]
         ]
         return CallerSession(
-            self._reactor, addresses, key=DEMO_LAYOUT.teams[team].key, deadline_s=10.0
+            self._reactor,
+            addresses,
+            key=DEMO_LAYOUT.teams[team].key,
+            deadline_s=10.0,
         )
 
     def _group(self, vm: str, service: str) -> Group:
@@ -204,10 +211,10 @@
         self._check(result.is_ok, f"a result, not {result.code}: {result.body}")
         return result
 
-    def _check(self, holds: bool, promise: str) -> None:
-        if not holds:
-            raise DemoFailed(f"Promise not kept: {promise}.")
+    def _check(self, is_met: bool, expectation: str) -> None:
+        if not is_met:
+            raise DemoFailed(f"Expected {expectation}.")
 
-    def _say(self, text: str) -> None:
-        self._step += 1
-        print_line(f"{self._step}. {text}")
+    def _print_step(self, text: str) -> None:
+        self._step_number += 1
+        print_line(f"{self._step_number}. {text}")
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/embedded_fleet.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/embedded_fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet with its stand-ins in one process."""
+"""Runs a fleet and the stand-ins of its platform and databases in one process."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 LOOPBACK = "127.0.0.1"
 FIRST_PORT = 12_000
 LAST_PORT = 32_000
-PORTS_PER_PROCESS = 601
+PORT_OFFSET_PER_PID = 601
 SECRET_BY_USE = {
     "token": "embedded-token-secret",
     "peer": "embedded-peer-secret",
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class LayoutTeam:
-    """A team of a layout; its key is ``key-NAME`` with a fixed ending."""
+    """A team of a layout; its key is ``key-NAME`` with a fixed suffix."""
 
     name: str
     services: tuple[str, ...]
@@ -74,13 +74,13 @@
 
     @property
     def key(self) -> str:
-        """Key for tests and demonstrations."""
+        """Fixed key for tests and demonstrations."""
         return f"key-{self.name}-0123456789abcdef"
 
 
 @dataclass(frozen=True)
 class Layout:
-    """What an embedded fleet consists of.
+    """VMs, services and teams of an embedded fleet.
 
     Parameters
     ----------
@@ -93,7 +93,7 @@
     lag_ms : float
         Replication lag of the databases.
     statement_ms : float
-        Time that each statement occupies a slot.
+        Time for which each statement occupies a slot.
     policies : dict of str to str
         Policies of the VMs.
     """
@@ -107,25 +107,25 @@
 
     @property
     def domains(self) -> tuple[str, ...]:
-        """All failure domains, in order of their names."""
+        """All failure domains, sorted by name."""
         in_services = {name for service in self.services for name in service.domains}
         return tuple(sorted(in_services | set(self.vm_domains)))
 
 
 class PortAllocator:
-    """Finds free TCP ports of the loopback address.
+    """Allocates free TCP ports of the loopback address.
 
-    The ports lie below those that the system gives to outgoing connections, and stay
-    reserved until :meth:`release`, so that none is given twice.
+    The ports lie below the ephemeral range that the system uses for outgoing
+    connections. They stay bound until :meth:`release`, so that none is allocated twice.
     """
 
     def __init__(self) -> None:
         self._sockets: list[socket.socket] = []
         span = LAST_PORT - FIRST_PORT
-        self._next = FIRST_PORT + os.getpid() * PORTS_PER_PROCESS % span
+        self._next = FIRST_PORT + os.getpid() * PORT_OFFSET_PER_PID % span
 
     def allocate(self) -> int:
-        """Return a free port."""
+        """Reserve and return a free port."""
         while True:
             port = self._next
             self._next = FIRST_PORT if port + 1 >= LAST_PORT else port + 1
@@ -140,7 +140,7 @@
             return port
 
     def release(self) -> None:
-        """Let the ports be used."""
+        """Unbind the reserved ports, so that servers can listen on them."""
         for reserved in self._sockets:
             reserved.close()
         self._sockets.clear()
@@ -162,13 +162,13 @@
     vm, domain : str
         Name and failure domain.
     ports : tuple of int
-        Ports for callers, operators and peers.
+        Ports of the caller API, the admin API and the peer links.
     platform_port : int
         Port of the platform.
     seed_peers : list of str
         Addresses of other VMs.
     **extra : object
-        Further settings.
+        Additional top-level settings.
     """
     callers, admin, peers = ports
     return {
@@ -194,9 +194,9 @@
     Parameters
     ----------
     layout : Layout
-        What to start.
+        VMs, services and teams to start.
     reactor : object
-        Reactor that owns everything.
+        Reactor on which all servers run.
     """
 
     def __init__(self, layout: Layout, reactor: Any) -> None:
@@ -217,7 +217,7 @@
         self._prepare_vms()
 
     async def start(self) -> None:
-        """Start everything and bring the layout's configuration into force."""
+        """Start platform, databases and VMs and apply the layout's configuration."""
         self._allocator.release()
         self.platform.listen(LOOPBACK, self._platform_port)
         for service in self.layout.services:
@@ -235,7 +235,7 @@
         )
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the VMs, databases and platform and delete the database files."""
         for vm in self.vm_by_name.values():
             await vm.stop()
         for database in self.database_by_name.values():
@@ -244,7 +244,7 @@
         self._directory.cleanup()
 
     def start_database(self, service: LayoutService, number: int) -> DatabaseServer:
-        """Start one database, also again after it was stopped."""
+        """Start one database, or restart a stopped one."""
         name = database_name(service, number)
         peers = {
             database_name(service, other): (
@@ -271,14 +271,14 @@
         return server
 
     def restart_database(self, name: str) -> None:
-        """Start a database again that was stopped; its file is still there."""
+        """Restart a stopped database with its existing file."""
         for service in self.layout.services:
             for number in range(len(service.domains)):
                 if database_name(service, number) == name:
                     self.start_database(service, number)
 
     async def stop_database(self, name: str) -> None:
-        """Stop one database as the end of its process would."""
+        """Stop one database as a process exit would."""
         await self.database_by_name.pop(name).stop()
 
     async def stop_vm(self, name: str) -> None:
@@ -286,19 +286,19 @@
         await self.vm_by_name.pop(name).stop()
 
     async def start_vm(self, name: str) -> EntryVm:
-        """Start one VM, also again after it was stopped."""
+        """Start one VM, or restart a stopped one."""
         vm = EntryVm(self.settings_by_vm[name], self._reactor)
         self.vm_by_name[name] = vm
         await vm.start()
         return vm
 
     def caller_address(self, vm: str) -> tuple[str, int]:
-        """Return the address at which a VM serves callers."""
+        """Return the address of a VM's caller API."""
         address = self.settings_by_vm[vm].callers
         return address.host, address.port
 
     def admin_address(self, vm: str) -> str:
-        """Return the address at which a VM serves operators."""
+        """Return the address of a VM's admin API."""
         return str(self.settings_by_vm[vm].admin)
 
     def changes(self) -> tuple[Change, ...]:
@@ -308,13 +308,14 @@
         ]
         changes.append(PutTemplate(Template("standard")))
         changes += [
-            PutService(self._service(service)) for service in self.layout.services
+            PutService(self._create_service(service))
+            for service in self.layout.services
         ]
         for team in self.layout.teams:
             changes += team_changes(team)
         return tuple(changes)
 
-    def _service(self, service: LayoutService) -> Service:
+    def _create_service(self, service: LayoutService) -> Service:
         targets = tuple(
             Target(
                 database_name(service, number),
@@ -365,5 +366,5 @@
 
 
 def database_name(service: LayoutService, number: int) -> str:
-    """Return the name of a database of a layout."""
+    """Return the name of a service's database, numbered from 0."""
     return f"{service.name}-{'abc'[number]}"
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/run_in_reactor.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/run_in_reactor.py
@@ -1,4 +1,4 @@
-"""Runs one coroutine in a reactor and ends the process with its result."""
+"""Runs one coroutine in a reactor; a failure exits the process."""
 
 from __future__ import annotations
 
@@ -16,29 +16,30 @@
 
 
 def run_in_reactor(
-    reactor: Any, start: Callable[[], Coroutine[Any, Any, object]]
+    reactor: Any, create_coroutine: Callable[[], Coroutine[Any, Any, object]]
 ) -> Any:
-    """Run a coroutine until it ends.
+    """Run a coroutine in a reactor until it completes.
 
     Parameters
     ----------
     reactor : object
-        Reactor that is not running yet.
-    start : callable
-        Returns the coroutine.
+        Reactor that has not been started.
+    create_coroutine : callable
+        Creates the coroutine; called once the reactor runs.
 
     Returns
     -------
     object
-        Result of the coroutine; a failure ends the process with status 1.
+        Result of the coroutine. If it fails, the traceback is printed and the process
+        exits with status 1.
     """
     results: list[Any] = []
     failures: list[Failure] = []
 
     def run() -> None:
-        done = Deferred.fromCoroutine(start())
-        done.addCallbacks(results.append, failures.append)
-        done.addBoth(lambda _: reactor.stop())
+        completion = Deferred.fromCoroutine(create_coroutine())
+        completion.addCallbacks(results.append, failures.append)
+        completion.addBoth(lambda _: reactor.stop())
 
     reactor.callWhenRunning(run)
     reactor.run()
