--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/beliefs_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/beliefs_command.py
@@ -13,7 +13,7 @@
     print_line,
     print_table,
 )
-from guavabarrow_daemon.operations.beliefs import Beliefs
+from guavabarrow_daemon.operations.beliefs import LocalView
 
 TIMEOUT_S = 5.0
 """VMs respond within milliseconds, busy ones within a second."""
@@ -84,7 +84,7 @@
     )
 
 
-def fetch_local_view(address: str) -> Beliefs:
+def fetch_local_view(address: str) -> LocalView:
     """Request the local view of a VM; exits with an error if that fails."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
@@ -95,7 +95,7 @@
         response = connection.getresponse()
         if response.status != 200:
             fail(f"{address} responded with status {response.status}.")
-        return msgspec.json.decode(response.read(), type=Beliefs)
+        return msgspec.json.decode(response.read(), type=LocalView)
     except (OSError, HTTPException, msgspec.MsgspecError) as error:
         fail(f"{address}: {error}")
     finally:
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/explain_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/explain_command.py
@@ -29,16 +29,16 @@
         fail(str(error), EXIT_USAGE)
     lines = chain.from_iterable(content.splitlines() for content in contents)
     explanation = explain_request(str(request_id), lines)
-    if not explanation.answers:
+    if not explanation.request_lines:
         fail(
             f"No log line contains {request_id}. Failures are logged in full and "
             f"successes sampled; {explanation.dropped} lines exceeded the log limits."
         )
     print_line("Answers:")
-    for line in explanation.answers:
+    for line in explanation.request_lines:
         print_line(f"  {line.describe()}")
     print_line("Recent state changes of the VMs that answered:")
-    for line in explanation.beliefs:
+    for line in explanation.view_changes:
         print_line(f"  {line.describe()}")
     if explanation.dropped:
         print_line(f"{explanation.dropped} lines exceeded the log limits.")
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/commands/operator_command.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/commands/operator_command.py
@@ -9,7 +9,7 @@
 
 from guavabarrow_cli.admin_client import AdminClient, AdminRequestFailed, ChangeReport
 from guavabarrow_cli.console import (
-    EXIT_NOT_IN_FORCE,
+    EXIT_NOT_APPLIED,
     EXIT_USAGE,
     fail,
     print_json,
@@ -87,4 +87,4 @@
                 print_line(f"in force at all {count} VMs after {report.seconds} s")
             return
         names = ", ".join(report.missing)
-        fail(f"not yet in force at: {names}", EXIT_NOT_IN_FORCE)
+        fail(f"not yet in force at: {names}", EXIT_NOT_APPLIED)
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/console.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/console.py
@@ -12,7 +12,7 @@
 
 EXIT_FAILED = 1
 EXIT_USAGE = 2
-EXIT_NOT_IN_FORCE = 3
+EXIT_NOT_APPLIED = 3
 
 
 def print_json(value: object) -> None:
--- a/packages/guavabarrow-cli/src/guavabarrow_cli/log_search.py
+++ b/packages/guavabarrow-cli/src/guavabarrow_cli/log_search.py
@@ -72,9 +72,9 @@
     ----------
     request_id : str
         Id of the request.
-    answers : list of LogLine
+    request_lines : list of LogLine
         Lines with its id, in order of time.
-    beliefs : list of LogLine
+    view_changes : list of LogLine
         Changes of the local view before these lines at the same VMs.
     unreadable : int
         Number of lines that are not structured log lines.
@@ -83,8 +83,8 @@
     """
 
     request_id: str
-    answers: list[LogLine] = field(default_factory=list)
-    beliefs: list[LogLine] = field(default_factory=list)
+    request_lines: list[LogLine] = field(default_factory=list)
+    view_changes: list[LogLine] = field(default_factory=list)
     unreadable: int = 0
     dropped: int = 0
 
@@ -125,7 +125,7 @@
     Returns
     -------
     Explanation
-        Without answers if no line contains the request's id.
+        Without lines if no line contains the request's id.
     """
     explanation = Explanation(request_id)
     view_events_by_vm: dict[str, deque[LogLine]] = {}
@@ -140,8 +140,8 @@
             line.vm, deque(maxlen=MAX_VIEW_EVENTS)
         )
         if line.fields.get("request") == request_id:
-            explanation.answers.append(line)
-            explanation.beliefs += [
+            explanation.request_lines.append(line)
+            explanation.view_changes += [
                 change
                 for change in recent_changes
                 if line.at - change.at <= VIEW_WINDOW_S
@@ -149,6 +149,6 @@
             recent_changes.clear()
         elif line.event in VIEW_EVENTS:
             recent_changes.append(line)
-    explanation.answers.sort(key=lambda line: line.at)
-    explanation.beliefs.sort(key=lambda line: line.at)
+    explanation.request_lines.sort(key=lambda line: line.at)
+    explanation.view_changes.sort(key=lambda line: line.at)
     return explanation
--- a/packages/guavabarrow-cli/tests/test_log_search.py
+++ b/packages/guavabarrow-cli/tests/test_log_search.py
@@ -25,13 +25,16 @@
 
 def test_finds_answers_of_all_vms_and_their_recent_state_changes():
     explanation = explain_request("r1", LINES)
-    assert [(a.vm, a.fields["result"]) for a in explanation.answers] == [
+    assert [(a.vm, a.fields["result"]) for a in explanation.request_lines] == [
         ("a", "overloaded"),
         ("b", "completed"),
     ]
-    assert [(b.vm, b.at) for b in explanation.beliefs] == [("b", 90.0), ("a", 92.0)]
+    assert [(b.vm, b.at) for b in explanation.view_changes] == [
+        ("b", 90.0),
+        ("a", 92.0),
+    ]
     assert (explanation.unreadable, explanation.dropped) == (1, 7)
 
 
 def test_unknown_request_has_no_answers():
-    assert explain_request("r9", LINES).answers == []
+    assert explain_request("r9", LINES).request_lines == []
--- a/packages/guavabarrow-core/src/guavabarrow_core/fleet_state.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/fleet_state.py
@@ -23,7 +23,7 @@
 promotions."""
 
 
-class PrimaryPhase(Enum):
+class LeadPhase(Enum):
     """Whether a service's primary may be used."""
 
     SETTLED = "settled"
@@ -55,14 +55,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PrimaryRow:
+class LeadRow:
     """Primary of one service.
 
     Parameters
     ----------
     service : str
         Name of the service.
-    phase : PrimaryPhase
+    phase : LeadPhase
         Whether the primary may be used.
     primary_id : str
         Current primary; while the row is moving, the one being replaced.
@@ -73,7 +73,7 @@
     """
 
     service: str
-    phase: PrimaryPhase
+    phase: LeadPhase
     primary_id: str
     term: int
     is_planned: bool = False
@@ -87,7 +87,7 @@
     incarnation: str
 
 
-FleetRow = MemberRow | PrimaryRow | DutyRow
+FleetRow = MemberRow | LeadRow | DutyRow
 
 
 @dataclass(frozen=True, slots=True)
@@ -225,10 +225,10 @@
         ]
         return min([*candidates, self.vm])
 
-    def primary_row(self, service: str) -> PrimaryRow | None:
+    def primary_row(self, service: str) -> LeadRow | None:
         """Return the row of a service's primary, None if there is none."""
         known = self.row_by_key.get(primary_row_key(service))
-        return known.row if known and isinstance(known.row, PrimaryRow) else None
+        return known.row if known and isinstance(known.row, LeadRow) else None
 
     def version_of(self, key: str) -> int:
         """Return the version of a row, 0 if it does not exist."""
@@ -258,7 +258,7 @@
             Local time, in s, on a clock that advances while the machine is suspended.
         """
         row = self.primary_row(service)
-        if row is None or row.phase is not PrimaryPhase.SETTLED:
+        if row is None or row.phase is not LeadPhase.SETTLED:
             return False
         return self.is_registered() and now < self.as_of + PRIMARY_LEASE_S
 
--- a/packages/guavabarrow-core/tests/test_fleet_state.py
+++ b/packages/guavabarrow-core/tests/test_fleet_state.py
@@ -10,9 +10,9 @@
     PRIMARY_LEASE_S,
     DutyRow,
     FleetState,
+    LeadPhase,
+    LeadRow,
     MemberRow,
-    PrimaryPhase,
-    PrimaryRow,
     VersionedRow,
     member_key,
     primary_row_key,
@@ -25,10 +25,8 @@
     return MemberRow(vm, "north", "10.0.0.1", 7560, incarnation, is_out)
 
 
-def primary_row(
-    phase: PrimaryPhase = PrimaryPhase.SETTLED, primary: str = "t1"
-) -> PrimaryRow:
-    return PrimaryRow(SERVICE, phase, primary, 1)
+def primary_row(phase: LeadPhase = LeadPhase.SETTLED, primary: str = "t1") -> LeadRow:
+    return LeadRow(SERVICE, phase, primary, 1)
 
 
 def versioned_rows(*pairs) -> list[VersionedRow]:
@@ -62,7 +60,7 @@
 
 def test_marking_a_row_as_moving_ends_the_lease_at_once(state):
     state.merge(
-        versioned_rows((primary_row_key(SERVICE), 5, primary_row(PrimaryPhase.MOVING))),
+        versioned_rows((primary_row_key(SERVICE), 5, primary_row(LeadPhase.MOVING))),
         10.1,
     )
     assert not state.may_use_primary(SERVICE, 10.1)
@@ -124,7 +122,7 @@
 
 def test_a_single_pushed_row_does_not_advance_rows_version(state):
     state.merge(
-        versioned_rows((primary_row_key(SERVICE), 9, primary_row(PrimaryPhase.MOVING))),
+        versioned_rows((primary_row_key(SERVICE), 9, primary_row(LeadPhase.MOVING))),
         10.1,
     )
     assert state.rows_version == 4
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/entry_vm.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/entry_vm.py
@@ -108,7 +108,7 @@
 
 def create_platform(settings: Settings, reactor: Any, metrics: Metrics) -> HttpPlatform:
     """Create the client of the configured platform service."""
-    address = settings.dial_address(settings.platform.host, settings.platform.port)
+    address = settings.resolve_address(settings.platform.host, settings.platform.port)
     return HttpPlatform(
         *address,
         credential=settings.platform.credential.get_secret_value(),
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/directory_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/directory_service.py
@@ -9,7 +9,7 @@
 from twisted.internet.task import LoopingCall, deferLater
 from xxhash import xxh3_64_intdigest
 
-from guavabarrow_core.fleet_state import PrimaryRow, VersionedRow
+from guavabarrow_core.fleet_state import LeadRow, VersionedRow
 from guavabarrow_core.target_directory import TargetDirectory, TargetEntry
 from guavabarrow_daemon.fleet.fleet_messages import UNKNOWN_AGE_S
 from guavabarrow_daemon.fleet.fleet_service import FleetService
@@ -79,7 +79,7 @@
         self.on_changed: list[Callable[[], None]] = []
         self.create_codec = create_codec
         self._driver = SessionDriver(
-            create_codec, reactor, opening_limit_s=OPEN_TIMEOUT_S
+            create_codec, reactor, open_timeout_s=OPEN_TIMEOUT_S
         )
         self._source = source
         self._reactor = reactor
@@ -108,7 +108,7 @@
         if self._trim_loop is not None and self._trim_loop.running:
             self._trim_loop.stop()
         for pool in self.pool_by_id.values():
-            pool.shut("The VM is shutting down.")
+            pool.close("The VM is shutting down.")
 
     def entry(self, target_id: str) -> TargetEntry | None:
         """Return a registered target, None if there is none."""
@@ -143,7 +143,7 @@
             pool.entry = entry
             return pool
         if pool is not None:
-            pool.shut("The target has restarted.")
+            pool.close("The target has restarted.")
         metrics = self.kernel.find(SessionMetrics)
         pool = SessionPool(
             entry,
@@ -221,7 +221,7 @@
             self._last_entry_by_id[target_id] = previous[target_id]
             pool = self.pool_by_id.pop(target_id, None)
             if pool is not None:
-                pool.shut("The target is no longer registered.")
+                pool.close("The target is no longer registered.")
         self._publish_change()
 
     def last_known_entry(self, target_id: str) -> TargetEntry | None:
@@ -295,12 +295,14 @@
             return
         members = max(1, len(self._fleet.state.member_by_vm()))
         available = max(1, limits.max_connections - RESERVED_CONNECTIONS)
-        pool.even_part = max(1, available // members)
-        pool.most = max(pool.even_part, min(available, pool.even_part + 1))
+        pool.fair_share = max(1, available // members)
+        pool.connection_limit = max(
+            pool.fair_share, min(available, pool.fair_share + 1)
+        )
 
     def _on_rows(self, rows: list[VersionedRow]) -> None:
         for row in rows:
-            if isinstance(row.row, PrimaryRow):
+            if isinstance(row.row, LeadRow):
                 for callback in self.on_changed:
                     callback()
                 return
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/fleet_service.py
@@ -10,8 +10,8 @@
 
 from guavabarrow_core.fleet_state import (
     FleetState,
+    LeadRow,
     MemberRow,
-    PrimaryRow,
     VersionedRow,
     member_key,
 )
@@ -32,7 +32,7 @@
 from guavabarrow_daemon.store.exceptions import HistoryDropped, StoreUnavailable
 from guavabarrow_daemon.store.watched_table import (
     OperatorOrders,
-    TableReading,
+    TableReadResult,
     TableRow,
 )
 
@@ -43,8 +43,8 @@
     from guavabarrow_daemon.session_settings import SessionVmSettings
     from guavabarrow_daemon.store.watched_table import (
         OperatorSource,
+        TableWriteResult,
         WatchedTable,
-        Written,
     )
 
 WATCH_TIMEOUT_S = 1.2
@@ -167,7 +167,7 @@
         if self._heartbeat_loop is not None and self._heartbeat_loop.running:
             self._heartbeat_loop.stop()
 
-    async def write(self, key: str, row: Any) -> Written | None:
+    async def write(self, key: str, row: Any) -> TableWriteResult | None:
         """Write a row if the store still has the cached version, and broadcast it.
 
         Parameters
@@ -179,7 +179,7 @@
 
         Returns
         -------
-        Written or None
+        TableWriteResult or None
             None if the store did not answer; the write may still be applied later.
         """
         sent_at = now_s()
@@ -272,7 +272,7 @@
         await self.refresh()
 
     def _apply_reading(
-        self, reading: TableReading, sent_at: float, *, is_full: bool
+        self, reading: TableReadResult, sent_at: float, *, is_full: bool
     ) -> None:
         now = now_s()
         self.clock.observe(store_s=reading.store_s, sent_at=sent_at, received_at=now)
@@ -291,10 +291,10 @@
     def _notify_changed_rows(self, changed: list[VersionedRow]) -> None:
         if not changed:
             return
-        if any(not isinstance(row.row, PrimaryRow) for row in changed):
+        if any(not isinstance(row.row, LeadRow) for row in changed):
             self._update_peers()
         for row in changed:
-            if isinstance(row.row, PrimaryRow):
+            if isinstance(row.row, LeadRow):
                 log_decision(
                     "lead_known",
                     service=row.row.service,
@@ -335,7 +335,7 @@
             self._record_store_access(True)
             self._apply_orders(orders, reading.rows, reading.version)
 
-    async def _read_orders(self) -> tuple[OperatorOrders | None, TableReading]:
+    async def _read_orders(self) -> tuple[OperatorOrders | None, TableReadResult]:
         if self._orders_version == 0:
             return await self._orders.read()
         return await self._orders.watch(self._orders_version, ORDERS_WATCH_TIMEOUT_S)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/peer_links.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/peer_links.py
@@ -24,7 +24,7 @@
 from guavabarrow_daemon.kernel import Kernel, Service
 from guavabarrow_daemon.operations.clock import now_s
 from guavabarrow_daemon.operations.decision_log import log_decision
-from guavabarrow_daemon.targets.session_connection import set_socket_limits
+from guavabarrow_daemon.targets.session_connection import configure_socket
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -59,7 +59,7 @@
     def connectionMade(self) -> None:  # noqa: N802
         """Identify this VM to the other end."""
         self.is_open = True
-        set_socket_limits(self.transport, TCP_USER_TIMEOUT_MS)
+        configure_socket(self.transport, TCP_USER_TIMEOUT_MS)
         self.send(self._links.hello)
 
     def send(self, message: FleetMessage) -> None:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_service.py
@@ -7,8 +7,8 @@
 from twisted.internet.defer import Deferred
 
 from guavabarrow_core.fleet_state import (
-    PrimaryPhase,
-    PrimaryRow,
+    LeadPhase,
+    LeadRow,
     VersionedRow,
     primary_row_key,
 )
@@ -96,7 +96,7 @@
         by the store; waiting longer would not help.
         """
         primary_row = self._fleet.state.primary_row(service)
-        if primary_row is None or primary_row.phase is not PrimaryPhase.MOVING:
+        if primary_row is None or primary_row.phase is not LeadPhase.MOVING:
             return 0.0
         started_at = self._moving_since_by_service.get(service, float("-inf"))
         return started_at + USUAL_REPLACEMENT_S - now_s()
@@ -106,7 +106,7 @@
         primary_row = self._fleet.state.primary_row(service)
         if (
             primary_row is None
-            or primary_row.phase is not PrimaryPhase.MOVING
+            or primary_row.phase is not LeadPhase.MOVING
             or not primary_row.is_planned
         ):
             return ""
@@ -153,9 +153,9 @@
     def _on_rows(self, rows: list[VersionedRow]) -> None:
         for row in rows:
             primary_row = row.row
-            if not isinstance(primary_row, PrimaryRow):
+            if not isinstance(primary_row, LeadRow):
                 continue
-            if primary_row.phase is PrimaryPhase.MOVING:
+            if primary_row.phase is LeadPhase.MOVING:
                 self._moving_since_by_service[primary_row.service] = now_s()
                 self._stop_using(primary_row, row.version)
                 continue
@@ -166,11 +166,11 @@
             for deferred in waiters:
                 deferred.callback(None)
 
-    def _stop_using(self, primary_row: PrimaryRow, version: int) -> None:
+    def _stop_using(self, primary_row: LeadRow, version: int) -> None:
         limit_s = SWITCHOVER_DRAIN_TIMEOUT_S if primary_row.is_planned else 0.0
         self._drain(primary_row, version, now_s() + limit_s)
 
-    def _drain(self, primary_row: PrimaryRow, version: int, until: float) -> None:
+    def _drain(self, primary_row: LeadRow, version: int, until: float) -> None:
         if (
             self._fleet.state.version_of(primary_row_key(primary_row.service))
             != version
@@ -184,7 +184,7 @@
             return
         pool = self._directory.pool_by_id.get(primary_row.primary_id)
         if pool is not None:
-            pool.close_all("The primary is being replaced.")
+            pool.abort_all("The primary is being replaced.")
         log_decision(
             "primary_left",
             service=primary_row.service,
@@ -209,7 +209,7 @@
             return
         for versioned in list(self._fleet.state.row_by_key.values()):
             if (
-                isinstance(versioned.row, PrimaryRow)
-                and versioned.row.phase is PrimaryPhase.MOVING
+                isinstance(versioned.row, LeadRow)
+                and versioned.row.phase is LeadPhase.MOVING
             ):
                 self._stop_using(versioned.row, versioned.version)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_watch.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_watch.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred
 
-from guavabarrow_core.fleet_state import PrimaryPhase, PrimaryRow
+from guavabarrow_core.fleet_state import LeadPhase, LeadRow
 from guavabarrow_core.primary_evidence import PrimaryEvidence, ProbeResult
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
 from guavabarrow_daemon.fleet.duty_service import DutyService
@@ -16,7 +16,7 @@
 from guavabarrow_daemon.operations.clock import now_s
 from guavabarrow_daemon.operations.decision_log import log_decision
 from guavabarrow_daemon.targets.interface import TargetUnreachable
-from guavabarrow_daemon.targets.target_questions import TargetQuestions
+from guavabarrow_daemon.targets.target_admin_client import TargetAdminClient
 
 if TYPE_CHECKING:
     from guavabarrow_core.target_directory import TargetEntry
@@ -43,7 +43,7 @@
         self._directory = kernel.find(DirectoryService)
         self._links = kernel.find(PeerLinks)
         self._duty = kernel.find(DutyService)
-        self._questions = TargetQuestions(self._directory.create_codec, reactor)
+        self._admin_client = TargetAdminClient(self._directory.create_codec, reactor)
         self._evidence_by_id: dict[str, PrimaryEvidence] = {}
         self._probing: set[str] = set()
 
@@ -77,7 +77,7 @@
     def _on_heartbeat(self, vm: str, heartbeat: PeerHeartbeat) -> None:
         now = now_s()
         for versioned in self._fleet.state.row_by_key.values():
-            if isinstance(versioned.row, PrimaryRow):
+            if isinstance(versioned.row, LeadRow):
                 target_id = versioned.row.primary_id
                 self._evidence(target_id).record_vote(
                     vm, target_id not in heartbeat.suspected, now
@@ -87,7 +87,7 @@
         primaries = set()
         for versioned in list(self._fleet.state.row_by_key.values()):
             primary_row = versioned.row
-            if not isinstance(primary_row, PrimaryRow):
+            if not isinstance(primary_row, LeadRow):
                 continue
             primaries.add(primary_row.primary_id)
             entry = self._directory.last_known_entry(primary_row.primary_id)
@@ -97,20 +97,20 @@
         for target_id in set(self._evidence_by_id) - primaries:
             del self._evidence_by_id[target_id]
 
-    def _is_due(self, primary_row: PrimaryRow, now: float) -> bool:
+    def _is_due(self, primary_row: LeadRow, now: float) -> bool:
         target_id = primary_row.primary_id
         if target_id in self._probing:
             return False
         evidence = self._evidence(target_id)
         pool = self._directory.pool_by_id.get(target_id)
         is_suspected = (
-            primary_row.phase is PrimaryPhase.MOVING
+            primary_row.phase is LeadPhase.MOVING
             or evidence.votes(now) > 0
             or target_id in self._directory.suspected()
         )
         if is_suspected:
             return now - evidence.probed_at >= SUSPECT_PROBE_INTERVAL_S
-        if pool is not None and pool.is_answering(now):
+        if pool is not None and pool.answered_recently(now):
             evidence.record_probe(ProbeResult.ANSWERED, now)
             return False
         was_answered = evidence.probe is ProbeResult.ANSWERED
@@ -121,10 +121,10 @@
     async def _probe(self, entry: TargetEntry) -> None:
         result = ProbeResult.ANSWERED
         try:
-            connection = await self._questions.dial(entry)
+            connection = await self._admin_client.open_connection(entry)
             connection.close()
             primary_row = self._fleet.state.primary_row(entry.service)
-            if primary_row is not None and primary_row.phase is PrimaryPhase.MOVING:
+            if primary_row is not None and primary_row.phase is LeadPhase.MOVING:
                 self._directory.confirm_entry(entry)
         except TargetUnreachable as error:
             result = ProbeResult.REFUSED if error.is_refused else ProbeResult.SILENT
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/promotion_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/promotion_service.py
@@ -9,8 +9,8 @@
 
 from guavabarrow_core.fleet_state import (
     DUTY_KEY,
-    PrimaryPhase,
-    PrimaryRow,
+    LeadPhase,
+    LeadRow,
     VersionedRow,
     primary_row_key,
 )
@@ -40,7 +40,7 @@
     PromotionRefused,
     PromotionUnanswered,
 )
-from guavabarrow_daemon.targets.target_questions import TargetQuestions
+from guavabarrow_daemon.targets.target_admin_client import TargetAdminClient
 
 if TYPE_CHECKING:
     from guavabarrow_core.target_directory import TargetEntry
@@ -71,7 +71,7 @@
         self._links = kernel.find(PeerLinks)
         self._duty = kernel.find(DutyService)
         self._primary_watch = kernel.find(PrimaryWatch)
-        self._questions = TargetQuestions(self._directory.create_codec, reactor)
+        self._admin_client = TargetAdminClient(self._directory.create_codec, reactor)
         self._promotion_by_service: dict[str, Promotion] = {}
         self._acknowledgements: dict[tuple[str, int], dict[str, str]] = {}
         self._initializing: set[str] = set()
@@ -109,7 +109,7 @@
         if primary_row is None:
             self._initialize_row(service)
             return
-        if primary_row.phase is PrimaryPhase.MOVING:
+        if primary_row.phase is LeadPhase.MOVING:
             self._start_promotion(
                 primary_row, is_planned=False, reason="unfinished", is_resumed=True
             )
@@ -167,14 +167,14 @@
         self._initializing.add(service)
 
         async def initialize(entry: TargetEntry) -> None:
-            status = await self._questions.status(entry)
+            status = await self._admin_client.status(entry)
             if (
                 status is not None
                 and status.is_primary
                 and self._duty.may_order_promotions()
             ):
                 term = status.term
-                row = PrimaryRow(service, PrimaryPhase.SETTLED, entry.target_id, term)
+                row = LeadRow(service, LeadPhase.SETTLED, entry.target_id, term)
                 await self._fleet.write(primary_row_key(service), row)
             self._initializing.discard(service)
 
@@ -182,7 +182,7 @@
 
     def _start_promotion(
         self,
-        primary_row: PrimaryRow,
+        primary_row: LeadRow,
         *,
         is_planned: bool,
         reason: str,
@@ -244,7 +244,7 @@
                 case DemotePrimary(target_id, term):
                     entry = self._directory.last_known_entry(target_id)
                     if entry is not None:
-                        Deferred.fromCoroutine(self._questions.demote(entry, term))
+                        Deferred.fromCoroutine(self._admin_client.demote(entry, term))
                 case RequestPromotion(target_id):
                     await self._request_promotion(promotion, target_id)
                 case MarkSettled(primary_id, term):
@@ -264,9 +264,9 @@
         return False
 
     async def _mark_moving(self, promotion: Promotion) -> None:
-        row = PrimaryRow(
+        row = LeadRow(
             promotion.service,
-            PrimaryPhase.MOVING,
+            LeadPhase.MOVING,
             promotion.old_primary_id,
             promotion.term,
             promotion.is_planned,
@@ -326,7 +326,7 @@
             for entry in map(self._directory.last_known_entry, target_ids)
             if entry is not None
         ]
-        statuses = await self._questions.statuses(entries)
+        statuses = await self._admin_client.statuses(entries)
         for entry in entries:
             if (
                 entry.target_id == promotion.old_primary_id
@@ -386,7 +386,7 @@
         until = now_s() + PROMOTION_TIMEOUT_S
         while self._is_current(promotion):
             entry = self._directory.entry(target_id)
-            status = await self._questions.status(entry) if entry else None
+            status = await self._admin_client.status(entry) if entry else None
             if status and status.is_primary and status.term > promotion.term:
                 actions = promotion.on_promoted(status.term)
                 await self._perform(promotion, actions)
@@ -399,7 +399,7 @@
     async def _mark_settled(
         self, promotion: Promotion, primary_id: str, term: int
     ) -> None:
-        row = PrimaryRow(promotion.service, PrimaryPhase.SETTLED, primary_id, term)
+        row = LeadRow(promotion.service, LeadPhase.SETTLED, primary_id, term)
         metrics = self.kernel.find(SessionMetrics)
         while self._is_current(promotion):
             written = await self._fleet.write(primary_row_key(promotion.service), row)
@@ -421,7 +421,7 @@
             await deferLater(self._reactor, RETRY_DELAY_S, lambda: None)
             await self._fleet.refresh()
             primary_row = self._fleet.state.primary_row(promotion.service)
-            if primary_row is not None and primary_row.phase is PrimaryPhase.SETTLED:
+            if primary_row is not None and primary_row.phase is LeadPhase.SETTLED:
                 promotion.on_settled()
                 return
 
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/row_codec.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/row_codec.py
@@ -7,9 +7,9 @@
 from guavabarrow_core.fleet_state import (
     DutyRow,
     FleetRow,
+    LeadPhase,
+    LeadRow,
     MemberRow,
-    PrimaryPhase,
-    PrimaryRow,
     VersionedRow,
 )
 from guavabarrow_daemon.operations.decision_log import log_decision
@@ -30,7 +30,7 @@
     """Stored form of a service's primary."""
 
     service: str
-    phase: PrimaryPhase
+    phase: LeadPhase
     primary_id: str
     term: int
     is_planned: bool = False
@@ -46,7 +46,7 @@
 StoredRow = StoredMember | StoredPrimary | StoredDuty
 ROW_TYPE_BY_STORED_TYPE: dict[type, type] = {
     StoredMember: MemberRow,
-    StoredPrimary: PrimaryRow,
+    StoredPrimary: LeadRow,
     StoredDuty: DutyRow,
 }
 STORED_TYPE_BY_ROW_TYPE = {
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_admission.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_admission.py
@@ -10,7 +10,10 @@
 from guavabarrow_daemon.fleet.rate_service import RateService
 from guavabarrow_daemon.kernel import Kernel, Service
 from guavabarrow_daemon.operations.clock import now_s
-from guavabarrow_daemon.operations.decision_log import SUCCESS_SAMPLE, log_decision
+from guavabarrow_daemon.operations.decision_log import (
+    SUCCESS_LOG_INTERVAL,
+    log_decision,
+)
 from guavabarrow_daemon.operations.session_metrics import SessionMetrics
 
 if TYPE_CHECKING:
@@ -83,7 +86,7 @@
         self._metrics.latency.labels(consistency, outcome).observe(elapsed_s)
         if result == "completed":
             self._successes += 1
-            if self._successes % SUCCESS_SAMPLE:
+            if self._successes % SUCCESS_LOG_INTERVAL:
                 return
         log_decision(
             "statement_answered",
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_front.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_front.py
@@ -30,7 +30,7 @@
 from guavabarrow_daemon.operations.decision_log import log_decision
 from guavabarrow_daemon.operations.session_metrics import SessionMetrics
 from guavabarrow_daemon.session_settings import SessionVmSettings, split_address
-from guavabarrow_daemon.targets.session_connection import set_socket_limits
+from guavabarrow_daemon.targets.session_connection import configure_socket
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -76,7 +76,7 @@
     def connectionMade(self) -> None:  # noqa: N802
         """Register the connection, or refuse it if there are too many."""
         self._is_open = True
-        set_socket_limits(self.transport, UNACKED_TIMEOUT_MS)
+        configure_socket(self.transport, UNACKED_TIMEOUT_MS)
         if not self._front.add(self):
             self._write_and_close(
                 [StatementFailed(FailureCode.TOO_MANY_CONNECTIONS, "too many sessions")]
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_router.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_router.py
@@ -27,7 +27,7 @@
 from guavabarrow_daemon.front.target_exchange import TargetExchange
 from guavabarrow_daemon.kernel import Kernel, Service
 from guavabarrow_daemon.operations.clock import now_s
-from guavabarrow_daemon.targets.interface import TargetBroken
+from guavabarrow_daemon.targets.interface import TargetConnectionBroken
 
 if TYPE_CHECKING:
     from guavabarrow_core.log_position import LogPosition
@@ -344,7 +344,7 @@
         sent.addTimeout(1.0, self._reactor)
         try:
             await sent
-        except (TargetBroken, TimeoutError):
+        except (TargetConnectionBroken, TimeoutError):
             connection.abort()
         self.end(transaction)
 
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/target_exchange.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/target_exchange.py
@@ -13,7 +13,7 @@
 from guavabarrow_daemon.kernel import Kernel, Service
 from guavabarrow_daemon.operations.clock import now_s
 from guavabarrow_daemon.operations.session_metrics import SessionMetrics
-from guavabarrow_daemon.targets.interface import TargetBroken
+from guavabarrow_daemon.targets.interface import TargetConnectionBroken
 
 if TYPE_CHECKING:
     from guavabarrow_core.session_values import PreparedShape
@@ -111,7 +111,7 @@
         role = "primary" if is_write else "any"
         try:
             reply = await sent
-        except (TargetBroken, TimeoutError) as error:
+        except (TargetConnectionBroken, TimeoutError) as error:
             pool.load.record_failure(now_s())
             is_timeout = isinstance(error, TimeoutError)
             self._metrics.attempts.labels(
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/group.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/group.py
@@ -27,7 +27,7 @@
 from guavabarrow_daemon.target_watch import ReportReceiver, TargetWatch
 from guavabarrow_daemon.targets.interface import (
     SqlDriver,
-    TargetBroken,
+    TargetConnectionBroken,
     TargetRefused,
 )
 from guavabarrow_daemon.targets.permit_pool import PermitPool
@@ -243,7 +243,7 @@
 
     def _add_target(self, target: Target) -> None:
         context = self.context
-        address = context.settings.dial_address(target.host, target.port)
+        address = context.settings.resolve_address(target.host, target.port)
         control = context.driver.control(*address)
         watch = TargetWatch(target, control, self, context.reactor)
         self.targets.watch_by_target[target.name] = watch
@@ -329,7 +329,7 @@
             answer = await watch.control.fence(
                 term, self.context.owner, timeout_s=COMMAND_TIMEOUT_S
             )
-        except (TargetBroken, TargetRefused):
+        except (TargetConnectionBroken, TargetRefused):
             return
         last = LogPosition(answer.last_term, answer.last_index)
         self.step(
@@ -344,7 +344,7 @@
                 accepted = await watch.control.promote(
                     term, self.context.owner, timeout_s=COMMAND_TIMEOUT_S
                 )
-            except (TargetBroken, TargetRefused):
+            except (TargetConnectionBroken, TargetRefused):
                 return
         self.step(PromoteReplied(database, term, accepted))
 
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/ledger_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/ledger_service.py
@@ -147,7 +147,7 @@
         waiter = Waiter(cost, deadline, Deferred())
         admission.waiters.append(waiter)
         self._request_tokens(team, admission)
-        await waiter.turn
+        await waiter.admitted
 
     def _admit_static(self, team: str, cost: float, now: float) -> None:
         """Admit within an equal share per live VM; a baseline for measurements."""
@@ -182,13 +182,13 @@
     def _request_tokens(self, team: str, admission: TeamAdmission) -> None:
         now = self._reactor.seconds()
         holder = self._find_holder(team)
-        if holder is None or admission.is_asking(holder.vm, now):
+        if holder is None or admission.is_ask_pending(holder.vm, now):
             return
         wanted = admission.cache.wanted(admission.waiting_cost, now)
         if wanted <= 0:
             return
         self._ask_id += 1
-        admission.note_ask(self._ask_id, holder.vm, now)
+        admission.record_ask(self._ask_id, holder.vm, now)
         returned = admission.cache.take_returned()
         message = AskTokens(
             admission.ask_id, team, wanted, admission.cache.tokens, returned
@@ -211,18 +211,18 @@
         admission = self._admission_by_team.get(grant.team)
         if (
             admission is None
-            or not admission.asking
+            or not admission.ask_pending
             or grant.ask_id != admission.ask_id
         ):
             return
         now = self._reactor.seconds()
-        admission.asking = False
+        admission.ask_pending = False
         if not grant.is_holder:
             return
         expires_at = admission.asked_at + grant.ttl_s
         admission.cache.add(grant.tokens, expires_at=expires_at, now=now)
         self._metrics.tokens.labels("granted").inc(grant.tokens)
-        admission.serve_waiters(now)
+        admission.admit_waiters(now)
         if grant.retry_after_s > 0:
             refused = admission.refuse_waiters(grant.retry_after_s)
             self._metrics.tokens.labels("refused").inc(refused)
@@ -355,7 +355,7 @@
         now = self._reactor.seconds()
         self._lease.tick()
         for team, admission in list(self._admission_by_team.items()):
-            admission.serve_waiters(now)
+            admission.admit_waiters(now)
             if admission.waiters:
                 self._request_tokens(team, admission)
 
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/beliefs.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/beliefs.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from guavabarrow_core.fleet_state import PrimaryRow
+from guavabarrow_core.fleet_state import LeadRow
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
 from guavabarrow_daemon.fleet.duty_service import DutyService
 from guavabarrow_daemon.fleet.fleet_service import FleetService
@@ -47,7 +47,7 @@
     evidence: str
 
 
-class Beliefs(msgspec.Struct, frozen=True):
+class LocalView(msgspec.Struct, frozen=True):
     """Cached state that determines how a VM routes statements.
 
     Parameters
@@ -86,7 +86,7 @@
     targets: list[TargetView]
 
 
-def read_local_view(kernel: Kernel) -> Beliefs:
+def read_local_view(kernel: Kernel) -> LocalView:
     """Collect the local view of a VM."""
     fleet = kernel.find(FleetService)
     primary_service = kernel.find(PrimaryService)
@@ -96,7 +96,7 @@
     state = fleet.state
     duty = state.duty()
     rows = [cached.row for _, cached in sorted(state.row_by_key.items())]
-    return Beliefs(
+    return LocalView(
         vm=state.vm,
         incarnation=state.incarnation,
         table_age_s=fleet.table_age_s(),
@@ -120,7 +120,7 @@
                 primary_service.may_use(row.service, row.primary_id),
             )
             for row in rows
-            if isinstance(row, PrimaryRow)
+            if isinstance(row, LeadRow)
         ],
         targets=[
             TargetView(
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/decision_log.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/decision_log.py
@@ -25,7 +25,7 @@
 """
 
 BURST_LINES = 300.0
-SUCCESS_SAMPLE = 50
+SUCCESS_LOG_INTERVAL = 50
 """One of this many successes is logged in full; metrics count all of them."""
 
 
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/peers.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/peers.py
@@ -158,7 +158,7 @@
 
     def _open_socket(self, address: str) -> Any:
         host, _, port = address.rpartition(":")
-        connect_host, connect_port = self._settings.dial_address(host, int(port))
+        connect_host, connect_port = self._settings.resolve_address(host, int(port))
         socket = pynng.Push0(
             send_buffer_size=SEND_BUFFER_MESSAGES,
             reconnect_time_min=RECONNECT_MIN_MS,
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/session_vm.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/session_vm.py
@@ -46,7 +46,7 @@
 INCARNATION_BYTES = 6
 
 
-class SteadyReactor(EPollReactor):
+class MonotonicReactor(EPollReactor):
     """Reactor whose timers use the monotonic clock instead of the wall clock."""
 
     def seconds(self) -> float:
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlatformParts:
+class PlatformInterfaces:
     """Interfaces through which one VM uses the platform.
 
     Parameters
@@ -92,7 +92,7 @@
         Validated settings.
     reactor : object
         Reactor that owns all sockets and timers.
-    create_parts : callable
+    create_interfaces : callable
         Creates the platform interfaces; receives the metrics that count their calls.
     """
 
@@ -100,7 +100,7 @@
         self,
         settings: SessionVmSettings,
         reactor: Any,
-        create_parts: Callable[[SessionMetrics], PlatformParts],
+        create_interfaces: Callable[[SessionMetrics], PlatformInterfaces],
     ) -> None:
         self.settings = settings
         self.kernel = Kernel()
@@ -108,14 +108,14 @@
         incarnation = secrets.token_hex(INCARNATION_BYTES)
         metrics = SessionMetrics(kernel)
         kernel.register(metrics)
-        parts = create_parts(metrics)
+        interfaces = create_interfaces(metrics)
         kernel.register(PeerLinks(kernel, settings, reactor, incarnation=incarnation))
         kernel.register(
             FleetService(
                 kernel,
                 settings,
-                parts.fleet_table,
-                parts.orders,
+                interfaces.fleet_table,
+                interfaces.orders,
                 reactor,
                 incarnation=incarnation,
             )
@@ -123,8 +123,8 @@
         kernel.register(
             DirectoryService(
                 kernel,
-                parts.directory,
-                parts.create_target_codec,
+                interfaces.directory,
+                interfaces.create_target_codec,
                 reactor,
                 domain=settings.domain,
             )
@@ -133,17 +133,17 @@
         kernel.register(PrimaryService(kernel, reactor))
         kernel.register(DutyService(kernel, reactor))
         kernel.register(PrimaryWatch(kernel, reactor))
-        kernel.register(PromotionService(kernel, parts.authority, reactor))
+        kernel.register(PromotionService(kernel, interfaces.authority, reactor))
         kernel.register(TargetChooser(kernel, reactor))
         kernel.register(TargetExchange(kernel, reactor))
         kernel.register(SessionRouter(kernel, reactor))
         kernel.register(RateService(kernel, settings, reactor))
         kernel.register(SessionAdmission(kernel))
         kernel.register(
-            SessionFront(kernel, settings, parts.create_front_codec, reactor)
+            SessionFront(kernel, settings, interfaces.create_front_codec, reactor)
         )
         kernel.register(
-            ReadinessSite(kernel, settings, reactor, ready_path=parts.ready_path)
+            ReadinessSite(kernel, settings, reactor, ready_path=interfaces.ready_path)
         )
 
     async def start(self) -> None:
@@ -171,12 +171,12 @@
 def run_session_vm(
     settings: SessionVmSettings,
     reactor: Any,
-    create_parts: Callable[[SessionMetrics], PlatformParts],
+    create_interfaces: Callable[[SessionMetrics], PlatformInterfaces],
     *,
     reload: Callable[[], None],
 ) -> None:
     """Run a VM until SIGTERM or SIGINT drains it; SIGHUP reloads settings."""
-    vm = SessionVm(settings, reactor, create_parts)
+    vm = SessionVm(settings, reactor, create_interfaces)
     received_signals: list[int] = []
 
     def on_signal(number: int, frame: object) -> None:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/settings.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/settings.py
@@ -234,7 +234,7 @@
         except ValidationError as error:
             raise SettingsError(describe_mistakes(source, error)) from error
 
-    def dial_address(self, host: str, port: int) -> tuple[str, int]:
+    def resolve_address(self, host: str, port: int) -> tuple[str, int]:
         """Return the address to connect to for a configured or announced address."""
         override = self.address_overrides.get(f"{host}:{port}")
         if override is None:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/statement_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/statement_service.py
@@ -48,7 +48,7 @@
     Result,
 )
 from guavabarrow_daemon.targets.interface import (
-    TargetBroken,
+    TargetConnectionBroken,
     TargetRefused,
     TargetUnreachable,
 )
@@ -141,7 +141,7 @@
             try:
                 result = await self._execute(context, group, choice.database, message)
                 return ReadResult(result, choice.is_replica)
-            except (TargetBroken, TargetUnreachable) as error:
+            except (TargetConnectionBroken, TargetUnreachable) as error:
                 is_first = not failed
                 failed = frozenset({choice.database})
                 if not is_first and not budget.withdraw():
@@ -196,7 +196,7 @@
                 self._check_retryable(problem, in_doubt)
                 await group.wait_report(REPORT_WAIT_S)
                 continue
-            except TargetBroken as error:
+            except TargetConnectionBroken as error:
                 in_doubt = True
                 await self._authorize_write_retry(
                     context, group, primary, budget, error
@@ -248,7 +248,7 @@
             try:
                 answer = await checkout.connection.resolve(message, timeout_s=timeout_s)
                 checkout.release(is_clean=True)
-            except (TargetBroken, TargetRefused):
+            except (TargetConnectionBroken, TargetRefused):
                 checkout.release(is_clean=False)
                 await group.wait_report(REPORT_WAIT_S)
                 continue
@@ -311,7 +311,7 @@
         group: Group,
         primary: DatabaseReport,
         budget: RetryBudget,
-        error: TargetBroken,
+        error: TargetConnectionBroken,
     ) -> None:
         """Wait until a write in doubt can be retried, and charge the retry budget.
 
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/exceptions.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/exceptions.py
@@ -12,13 +12,13 @@
     ----------
     detail : str
         Description of the failure.
-    is_undone : bool
+    is_not_applied : bool
         Whether it is certain that the call changed nothing.
     """
 
-    def __init__(self, detail: str, *, is_undone: bool = False) -> None:
+    def __init__(self, detail: str, *, is_not_applied: bool = False) -> None:
         super().__init__(detail)
-        self.is_undone = is_undone
+        self.is_not_applied = is_not_applied
 
 
 class HistoryDropped(GuavabarrowError):
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/http_caller.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/http_caller.py
@@ -98,7 +98,7 @@
             connection = await self._connections.acquire()
         except ConnectionBroken as error:
             self._on_call(name, "unreachable")
-            raise StoreUnavailable(str(error), is_undone=True) from error
+            raise StoreUnavailable(str(error), is_not_applied=True) from error
         pending = connection.request(method, path, body, self._headers)
         idle_timer = self._reactor.callLater(
             self._call_timeout_s + wait_s, pending.cancel
@@ -111,7 +111,7 @@
             self._on_call(name, "unanswered")
             connection.abort()
             raise StoreUnavailable(
-                f"No response from the store: {error}", is_undone=False
+                f"No response from the store: {error}", is_not_applied=False
             ) from error
         finally:
             connection.on_progress = None
@@ -123,7 +123,7 @@
         if response.status in REJECTED_STATUSES:
             raise StoreUnavailable(
                 f"The store rejected the call: status {response.status}.",
-                is_undone=True,
+                is_not_applied=True,
             )
         return response
 
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/watched_table.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/store/watched_table.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TableReading:
+class TableReadResult:
     """Result of a read or a watch.
 
     Parameters
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class TableWriteResult:
     """Result of a conditional write.
 
     Parameters
@@ -64,11 +64,11 @@
     """A table of the platform's store whose changes can be watched."""
 
     @abstractmethod
-    async def read(self) -> TableReading:
+    async def read(self) -> TableReadResult:
         """Read all rows as of one point in time."""
 
     @abstractmethod
-    async def watch(self, after: int, wait_s: float) -> TableReading:
+    async def watch(self, after: int, wait_s: float) -> TableReadResult:
         """Wait up to ``wait_s`` seconds for rows that changed after a version.
 
         Raises
@@ -80,7 +80,9 @@
         """
 
     @abstractmethod
-    async def write(self, key: str, value: bytes | None, expected: int) -> Written:
+    async def write(
+        self, key: str, value: bytes | None, expected: int
+    ) -> TableWriteResult:
         """Write or delete a row if its version is ``expected``; 0 means no row."""
 
 
@@ -104,13 +106,13 @@
     """Reads the configuration and the evacuations."""
 
     @abstractmethod
-    async def read(self) -> tuple[OperatorOrders, TableReading]:
+    async def read(self) -> tuple[OperatorOrders, TableReadResult]:
         """Read the complete orders."""
 
     @abstractmethod
     async def watch(
         self, after: int, wait_s: float
-    ) -> tuple[OperatorOrders | None, TableReading]:
+    ) -> tuple[OperatorOrders | None, TableReadResult]:
         """Wait for changes; the orders are None if there were none."""
 
     @abstractmethod
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/target_watch.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/target_watch.py
@@ -12,7 +12,7 @@
 from guavabarrow_core.group_view import DatabaseReport, Role
 from guavabarrow_daemon.targets.http_messages import Status, Watch
 from guavabarrow_daemon.targets.interface import (
-    TargetBroken,
+    TargetConnectionBroken,
     TargetControl,
     TargetRefused,
 )
@@ -87,7 +87,7 @@
         sent_at = self._reactor.seconds()
         try:
             status = await self.control.status(timeout_s=WATCH_TIMEOUT_S)
-        except (TargetBroken, TargetRefused):
+        except (TargetConnectionBroken, TargetRefused):
             return
         if self._running:
             self._report(status, sent_at)
@@ -100,7 +100,7 @@
                 status = await self.control.watch(
                     watch_request, timeout_s=WATCH_TIMEOUT_S
                 )
-            except (TargetBroken, TargetRefused):
+            except (TargetConnectionBroken, TargetRefused):
                 watch_request = Watch()
                 if self._running:
                     elapsed_s = self._reactor.seconds() - sent_at
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/http_driver.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/http_driver.py
@@ -30,7 +30,7 @@
 from guavabarrow_daemon.targets.interface import (
     SqlConnection,
     SqlDriver,
-    TargetBroken,
+    TargetConnectionBroken,
     TargetControl,
     TargetRefused,
 )
@@ -156,7 +156,7 @@
                     self._reactor, host, port, timeout_s=timeout_s
                 )
             except ConnectionBroken as error:
-                raise TargetBroken(str(error)) from error
+                raise TargetConnectionBroken(str(error)) from error
             self._connection_by_use[use] = connection
         return await send_request(
             connection, path, message, answer_type, timeout_s, self._reactor
@@ -187,7 +187,7 @@
                 self._reactor, host, port, timeout_s=CONNECT_TIMEOUT_S
             )
         except ConnectionBroken as error:
-            raise TargetBroken(str(error)) from error
+            raise TargetConnectionBroken(str(error)) from error
         connection = HttpTargetConnection(raw, self._reactor)
         try:
             await connection.connect(self._credential)
@@ -215,7 +215,7 @@
     ------
     TargetRefused
         If the database refused the request, which had no effect.
-    TargetBroken
+    TargetConnectionBroken
         If there was no valid answer. The connection is aborted, so that a late answer
         cannot be mistaken for the answer to another request.
     """
@@ -224,7 +224,7 @@
     try:
         response = await pending
     except (ConnectionBroken, CancelledError) as error:
-        raise TargetBroken(f"{path}: {error or 'timed out'}") from error
+        raise TargetConnectionBroken(f"{path}: {error or 'timed out'}") from error
     finally:
         if timer.active():
             timer.cancel()
@@ -234,5 +234,5 @@
         problem = msgspec.json.decode(response.body, type=TargetProblem)
     except msgspec.MsgspecError as error:
         connection.abort()
-        raise TargetBroken(f"{path}: malformed answer: {error}") from error
+        raise TargetConnectionBroken(f"{path}: malformed answer: {error}") from error
     raise TargetRefused(problem.code, problem.detail)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/interface.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/interface.py
@@ -43,7 +43,7 @@
         self.detail = detail
 
 
-class TargetBroken(GuavabarrowError):
+class TargetConnectionBroken(GuavabarrowError):
     """A connection was lost or timed out; a write may have taken effect."""
 
 
@@ -91,7 +91,7 @@
         ------
         TargetRefused
             If the database refused the statement, which had no effect.
-        TargetBroken
+        TargetConnectionBroken
             If the outcome is unknown.
         """
 
@@ -157,7 +157,7 @@
         ------
         TargetRefused
             If the target refuses the connection.
-        TargetBroken or TargetUnreachable
+        TargetConnectionBroken or TargetUnreachable
             If the target cannot be reached.
         """
 
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/permit_pool.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/permit_pool.py
@@ -14,7 +14,7 @@
 from guavabarrow_daemon.targets.interface import (
     SqlConnection,
     SqlDriver,
-    TargetBroken,
+    TargetConnectionBroken,
     TargetRefused,
     TargetUnreachable,
 )
@@ -247,7 +247,7 @@
         host, port = self._address
         try:
             connection = await self._driver.connect(host, port)
-        except (TargetRefused, TargetBroken) as error:
+        except (TargetRefused, TargetConnectionBroken) as error:
             self.state.opening -= 1
             self._retry_at = self._reactor.seconds() + CONNECT_BACKOFF_S
             self._on_connect_failed(error)
@@ -261,7 +261,7 @@
         self._dispatch()
 
     def _on_connect_failed(self, error: GuavabarrowError) -> None:
-        if isinstance(error, TargetBroken) and not self.state.open:
+        if isinstance(error, TargetConnectionBroken) and not self.state.open:
             self._fail_waiters(f"The target cannot be reached: {error}")
             return
         self._reactor.callLater(CONNECT_BACKOFF_S, self._dispatch)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_connection.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_connection.py
@@ -24,8 +24,8 @@
 from guavabarrow_core.session_values import ConnectionValues
 from guavabarrow_daemon.operations.clock import now_s
 from guavabarrow_daemon.targets.interface import (
-    TargetBroken,
     TargetConnection,
+    TargetConnectionBroken,
     TargetRefused,
 )
 
@@ -94,7 +94,7 @@
     def connectionMade(self) -> None:  # noqa: N802
         """Send the message that opens the session."""
         self._is_open = True
-        set_socket_limits(self.transport, UNACKED_TIMEOUT_MS)
+        configure_socket(self.transport, UNACKED_TIMEOUT_MS)
         self.transport.write(self._codec.encode_open(self.open_message))
 
     def send(self, data: bytes, setup_count: int, now: float) -> Deferred[Reply]:
@@ -112,12 +112,12 @@
         Returns
         -------
         Deferred of Reply
-            Reply to the main statement. Fails with :class:`TargetBroken`;
+            Reply to the main statement. Fails with :class:`TargetConnectionBroken`;
             cancelling it aborts the connection.
         """
         result: Deferred[Reply] = Deferred(lambda _: self.abort())
         if not self._is_open:
-            result.errback(TargetBroken("The connection is closed."))
+            result.errback(TargetConnectionBroken("The connection is closed."))
             return result
         for _ in range(setup_count):
             self._pending.append(PendingReply(None, now))
@@ -175,11 +175,11 @@
         """Fail all outstanding statements."""
         self._is_open = False
         if not self.opened.called:
-            self.opened.errback(TargetBroken("The session was not opened."))
+            self.opened.errback(TargetConnectionBroken("The session was not opened."))
         pending, self._pending = self._pending, deque()
         for reply in pending:
             if reply.result is not None and not reply.result.called:
-                reply.result.errback(TargetBroken("The connection was lost."))
+                reply.result.errback(TargetConnectionBroken("The connection was lost."))
         if self._on_lost is not None:
             self._on_lost()
 
@@ -202,7 +202,7 @@
             pending.result.callback(reply)
 
 
-def set_socket_limits(transport: Any, unacked_timeout_ms: int) -> None:
+def configure_socket(transport: Any, unacked_timeout_ms: int) -> None:
     """Disable Nagle's algorithm and set the timeouts for a dead peer.
 
     Parameters
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_driver.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_driver.py
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectError, ConnectionRefusedError
 
 from guavabarrow_daemon.targets.interface import (
-    TargetBroken,
+    TargetConnectionBroken,
     TargetDriver,
     TargetUnreachable,
 )
@@ -34,7 +34,7 @@
         Creates the codec of a connection.
     reactor : object
         Reactor that owns the sockets.
-    opening_limit_s : float
+    open_timeout_s : float
         Time within which a connected target must accept the session, in s.
     """
 
@@ -43,11 +43,11 @@
         create_codec: Callable[[], TargetCodec],
         reactor: Any,
         *,
-        opening_limit_s: float,
+        open_timeout_s: float,
     ) -> None:
         self._create_codec = create_codec
         self._reactor = reactor
-        self._opening_limit_s = opening_limit_s
+        self._opening_limit_s = open_timeout_s
 
     async def connect(
         self, host: str, port: int, open_message: OpenSession | None = None
@@ -60,7 +60,7 @@
             If ``open_message`` is missing.
         TargetRefused
             If the target refuses the session.
-        TargetBroken
+        TargetConnectionBroken
             If the target was reached but did not accept the session in time.
         TargetUnreachable
             If no connection to the target could be opened.
@@ -81,6 +81,6 @@
         try:
             return await connection.opened
         except (TimeoutError, CancelledError) as error:
-            raise TargetBroken(
+            raise TargetConnectionBroken(
                 "The target did not accept the session in time."
             ) from error
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_pool.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_pool.py
@@ -21,7 +21,7 @@
 from guavabarrow_daemon.operations.clock import now_s
 from guavabarrow_daemon.operations.decision_log import log_decision
 from guavabarrow_daemon.targets.interface import (
-    TargetBroken,
+    TargetConnectionBroken,
     TargetRefused,
     TargetUnreachable,
 )
@@ -120,8 +120,8 @@
         self.load = TargetLoad()
         self.window = SendWindow(MAX_WINDOW, INITIAL_WINDOW)
         self._running_count = 0
-        self.even_part = 1
-        self.most = 4
+        self.fair_share = 1
+        self.connection_limit = 4
         self.connections: set[SessionConnection] = set()
         self._driver = driver
         self._reactor = reactor
@@ -147,7 +147,7 @@
         """Statements that wait for a connection."""
         return len(self._waiters)
 
-    def is_answering(self, now: float) -> bool:
+    def answered_recently(self, now: float) -> bool:
         """Return whether the target answered within the last second."""
         return now - self.load.measured_at < 1.0
 
@@ -239,7 +239,7 @@
         """Close connections that were idle for too long and fail expired waiters."""
         now = now_s()
         for connection in list(self._idle):
-            is_excess = self.open_count > self.even_part
+            is_excess = self.open_count > self.fair_share
             timeout_s = EXCESS_IDLE_TIMEOUT_S if is_excess else IDLE_TIMEOUT_S
             if idle_s(connection) > timeout_s:
                 self._discard(connection)
@@ -253,7 +253,7 @@
                 )
         self._serve_waiters()
 
-    def close_all(self, reason: str) -> None:
+    def abort_all(self, reason: str) -> None:
         """Abort all connections and fail all waiters."""
         waiters, self._waiters = self._waiters, []
         for connection in list(self.connections):
@@ -262,10 +262,10 @@
         for waiter in waiters:
             waiter.result.errback(_unavailable(reason))
 
-    def shut(self, reason: str) -> None:
+    def close(self, reason: str) -> None:
         """Abort all connections and refuse further requests."""
         self._is_closed = True
-        self.close_all(reason)
+        self.abort_all(reason)
 
     def _is_unreachable(self) -> bool:
         if self._unreachable_at is None or self.connections:
@@ -278,7 +278,7 @@
             f"target={self.entry.target_id} open={len(self.connections)} "
             f"opening={self._opening_count} idle={len(self._idle)} "
             f"waiting={len(self._waiters)} "
-            f"limit={self.even_part}-{self.most}"
+            f"limit={self.fair_share}-{self.connection_limit}"
         )
 
     def _serve_waiters(self) -> None:
@@ -313,7 +313,7 @@
 
     def _ensure_capacity(self) -> bool:
         now = now_s()
-        limit = self.even_part if now < self._full_until else self.most
+        limit = self.fair_share if now < self._full_until else self.connection_limit
         if self.open_count < limit:
             return True
         waiting_teams = {waiter.team for waiter in self._waiters}
@@ -342,7 +342,7 @@
             self._count_handshake(error.code)
             self._on_refused(error.code)
             evidence = ""
-        except TargetBroken as error:
+        except TargetConnectionBroken as error:
             self._count_handshake("lost")
             evidence = "silent"
             self._on_unreachable(str(error), evidence)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/target_questions.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/target_admin_client.py
@@ -10,7 +10,7 @@
 from guavabarrow_daemon.operations.clock import now_s
 from guavabarrow_daemon.operations.decision_log import log_decision
 from guavabarrow_daemon.targets.interface import (
-    TargetBroken,
+    TargetConnectionBroken,
     TargetRefused,
     TargetUnreachable,
 )
@@ -31,7 +31,7 @@
 the target."""
 
 
-class TargetQuestions:
+class TargetAdminClient:
     """Sends administrative requests on connections that belong to no team.
 
     Parameters
@@ -44,12 +44,12 @@
 
     def __init__(self, create_codec: Callable[[], TargetCodec], reactor: Any) -> None:
         self._driver = SessionDriver(
-            create_codec, reactor, opening_limit_s=OPEN_TIMEOUT_S
+            create_codec, reactor, open_timeout_s=OPEN_TIMEOUT_S
         )
         self._codec = create_codec()
         self._reactor = reactor
 
-    async def dial(self, entry: TargetEntry) -> SessionConnection:
+    async def open_connection(self, entry: TargetEntry) -> SessionConnection:
         """Open a connection to a target.
 
         Raises
@@ -60,7 +60,7 @@
         open_message = OpenSession(entry.service, "", entry.target_id)
         try:
             return await self._driver.connect(entry.host, entry.port, open_message)
-        except (TargetRefused, TargetBroken) as error:
+        except (TargetRefused, TargetConnectionBroken) as error:
             raise TargetUnreachable(str(error)) from error
 
     async def status(self, entry: TargetEntry) -> TargetStatus | None:
@@ -96,7 +96,7 @@
 
     async def _request(self, entry: TargetEntry, data: bytes) -> Reply | None:
         try:
-            connection = await self.dial(entry)
+            connection = await self.open_connection(entry)
         except TargetUnreachable as error:
             log_decision("target_unanswered", target=entry.target_id, detail=str(error))
             return None
@@ -104,7 +104,7 @@
         reply.addTimeout(ANSWER_TIMEOUT_S, self._reactor)
         try:
             return await reply
-        except (TargetBroken, TimeoutError) as error:
+        except (TargetConnectionBroken, TimeoutError) as error:
             log_decision("target_unanswered", target=entry.target_id, detail=str(error))
             return None
         finally:
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/team_admission.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/team_admission.py
@@ -21,7 +21,7 @@
 
     cost: float
     deadline: float
-    turn: Deferred[None]
+    admitted: Deferred[None]
 
 
 @dataclass(slots=True)
@@ -33,39 +33,39 @@
     ask_id: int = 0
     asked_at: float = 0.0
     asked_vm: str = ""
-    asking: bool = False
+    ask_pending: bool = False
 
     @property
     def waiting_cost(self) -> float:
         """Number of tokens that the waiting requests need."""
         return sum(waiter.cost for waiter in self.waiters)
 
-    def is_asking(self, holder: str, now: float) -> bool:
+    def is_ask_pending(self, holder: str, now: float) -> bool:
         """Return whether a token request to ``holder`` is pending, not timed out."""
         in_time = now - self.asked_at < ASK_TIMEOUT_S
-        return self.asking and in_time and self.asked_vm == holder
+        return self.ask_pending and in_time and self.asked_vm == holder
 
     def is_current_ask(self, ask_id: int) -> bool:
         """Return whether this token request is the pending one."""
-        return self.asking and ask_id == self.ask_id
+        return self.ask_pending and ask_id == self.ask_id
 
-    def note_ask(self, ask_id: int, holder: str, now: float) -> None:
+    def record_ask(self, ask_id: int, holder: str, now: float) -> None:
         """Record the pending token request; answers to earlier ones are ignored."""
         self.ask_id = ask_id
         self.asked_at = now
         self.asked_vm = holder
-        self.asking = True
+        self.ask_pending = True
 
-    def serve_waiters(self, now: float) -> None:
+    def admit_waiters(self, now: float) -> None:
         """Admit requests in order of arrival while tokens last; fail expired ones."""
         while self.waiters:
             waiter = self.waiters[0]
             if waiter.deadline <= now:
                 self.waiters.popleft()
-                waiter.turn.errback(_create_ledger_timeout())
+                waiter.admitted.errback(_create_ledger_timeout())
             elif self.cache.spend(waiter.cost, now):
                 self.waiters.popleft()
-                waiter.turn.callback(None)
+                waiter.admitted.callback(None)
             else:
                 return
 
@@ -73,7 +73,7 @@
         """Refuse all waiting requests as above the rate and return their number."""
         refused, self.waiters = self.waiters, deque()
         for waiter in refused:
-            waiter.turn.errback(
+            waiter.admitted.errback(
                 RateExceeded(
                     "The team is above its rate and burst in the whole fleet.",
                     retry_after_s=retry_after_s,
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/transaction_service.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/transaction_service.py
@@ -34,7 +34,7 @@
     Execute,
     Result,
 )
-from guavabarrow_daemon.targets.interface import TargetBroken, TargetRefused
+from guavabarrow_daemon.targets.interface import TargetConnectionBroken, TargetRefused
 
 if TYPE_CHECKING:
     from guavabarrow_core.key_ring import KeyOwner
@@ -136,7 +136,7 @@
             timeout_s = context.deadline - self._reactor.seconds()
             try:
                 await checkout.connection.begin(term, timeout_s=timeout_s)
-            except (TargetBroken, TargetRefused):
+            except (TargetConnectionBroken, TargetRefused):
                 checkout.release(is_clean=False)
                 await group.wait_report(RETRY_AFTER_S)
                 continue
@@ -162,7 +162,7 @@
             result = await transaction.checkout.connection.execute(
                 message, timeout_s=timeout_s
             )
-        except TargetBroken as error:
+        except TargetConnectionBroken as error:
             self._abort(transaction)
             raise TransactionLost(
                 f"The connection of the transaction was lost: {error}. "
@@ -187,7 +187,7 @@
         timeout_s = context.deadline - self._reactor.seconds()
         try:
             await transaction.checkout.connection.reset(timeout_s=timeout_s)
-        except (TargetBroken, TargetRefused):
+        except (TargetConnectionBroken, TargetRefused):
             transaction.checkout.release(is_clean=False)
             return
         transaction.checkout.release(is_clean=True)
@@ -211,7 +211,7 @@
             result = await transaction.checkout.connection.commit(
                 message, timeout_s=timeout_s
             )
-        except TargetBroken:
+        except TargetConnectionBroken:
             transaction.checkout.release(is_clean=False)
             return await self._resolve(context, transaction, request_id)
         except TargetRefused as problem:
--- a/packages/guavabarrow-daemon/tests/sim_fleet.py
+++ b/packages/guavabarrow-daemon/tests/sim_fleet.py
@@ -13,10 +13,10 @@
     SimDirectory,
     SimGroup,
     SimOrders,
-    SimQuestions,
     SimStore,
     SimTable,
     SimTarget,
+    SimTargetAdminClient,
     publish_configuration,
 )
 from twisted.internet.defer import Deferred
@@ -56,7 +56,7 @@
         self.domain = domain
         self.host = host
         self.reactor = fleet.network.reactor(host)
-        self._questions = SimQuestions(fleet.group, self.reactor)
+        self._admin_client = SimTargetAdminClient(fleet.group, self.reactor)
         settings = SessionVmSettings(
             vm=name,
             domain=domain,
@@ -100,8 +100,8 @@
         authority = SimAuthority(fleet.group, reactor)
         kernel.register(PromotionService(kernel, authority, reactor))
         kernel.register(RateService(kernel, settings, reactor))
-        kernel.find(PrimaryWatch)._questions = self._questions
-        kernel.find(PromotionService)._questions = self._questions
+        kernel.find(PrimaryWatch)._admin_client = self._admin_client
+        kernel.find(PromotionService)._admin_client = self._admin_client
         Deferred.fromCoroutine(kernel.start())
         self._statement_loop = LoopingCall(self._use_primary)
         self._statement_loop.clock = reactor
@@ -126,11 +126,11 @@
     def _use_primary(self) -> None:
         target_id = self.primary()
         directory = self.kernel.find(DirectoryService)
-        for target in self._questions._group.targets:
+        for target in self._admin_client._group.targets:
             if target.target_id != target_id:
                 continue
             evidence = "answered" if target.is_alive else "refused"
-            if not self._questions.can_reach(target):
+            if not self._admin_client.can_reach(target):
                 evidence = "silent"
             directory.record_evidence(target_id, evidence)
 
--- a/packages/guavabarrow-daemon/tests/sim_platform.py
+++ b/packages/guavabarrow-daemon/tests/sim_platform.py
@@ -18,10 +18,10 @@
     OperatorSource,
     PromotionAuthority,
     PromotionRefused,
-    TableReading,
+    TableReadResult,
     TableRow,
+    TableWriteResult,
     WatchedTable,
-    Written,
 )
 from guavabarrow_daemon.targets.interface import TargetUnreachable
 
@@ -76,24 +76,24 @@
             or is_blocked(STORE_HOST, host)
         )
 
-    def apply(self, key: str, value: bytes | None, expected: int) -> Written:
+    def apply(self, key: str, value: bytes | None, expected: int) -> TableWriteResult:
         """Write a row if its current version is the expected one."""
         row = self.row_by_key.get(key)
         current = row.version if row is not None and row.value is not None else 0
         if current != expected:
-            return Written(False, 0, self.network.now)
+            return TableWriteResult(False, 0, self.network.now)
         self.version += 1
         self.row_by_key[key] = TableRow(key, value, self.version)
-        return Written(True, self.version, self.network.now)
+        return TableWriteResult(True, self.version, self.network.now)
 
-    def read_after(self, after: int, *, with_deleted: bool) -> TableReading:
+    def read_after(self, after: int, *, with_deleted: bool) -> TableReadResult:
         """Return the rows that changed after a version."""
         rows = [
             row
             for row in self.row_by_key.values()
             if row.version > after and (with_deleted or row.value is not None)
         ]
-        return TableReading(rows, self.version, self.network.now)
+        return TableReadResult(rows, self.version, self.network.now)
 
 
 class SimTable(WatchedTable):
@@ -103,12 +103,12 @@
         self._store = store
         self._reactor = reactor
 
-    async def read(self) -> TableReading:
+    async def read(self) -> TableReadResult:
         """Read all rows."""
         await self._send_request()
         return await self._receive_answer(self._store.read_after(0, with_deleted=False))
 
-    async def watch(self, after: int, wait_s: float) -> TableReading:
+    async def watch(self, after: int, wait_s: float) -> TableReadResult:
         """Wait for changes."""
         await self._send_request()
         if after < self._store.compacted_version:
@@ -120,35 +120,37 @@
             self._store.read_after(after, with_deleted=True)
         )
 
-    async def write(self, key: str, value: bytes | None, expected: int) -> Written:
+    async def write(
+        self, key: str, value: bytes | None, expected: int
+    ) -> TableWriteResult:
         """Write a row."""
         store = self._store
         if store.write_delay_s > 0.0:
             clock = store.network.reactor_by_host[STORE_HOST]
             clock.callLater(store.write_delay_s, store.apply, key, value, expected)
             await self._pause(CALL_TIMEOUT_S)
-            raise StoreUnavailable("no answer", is_undone=False)
+            raise StoreUnavailable("no answer", is_not_applied=False)
         await self._send_request()
         written = store.apply(key, value, expected)
         if store.drops_write_replies:
             await self._pause(CALL_TIMEOUT_S)
-            raise StoreUnavailable("the answer was lost", is_undone=False)
+            raise StoreUnavailable("the answer was lost", is_not_applied=False)
         return await self._receive_answer(written)
 
     async def _send_request(self) -> None:
         if not self._store.is_reachable_from(self._reactor.host):
             await self._pause(CALL_TIMEOUT_S)
-            raise StoreUnavailable("no answer", is_undone=True)
+            raise StoreUnavailable("no answer", is_not_applied=True)
         await self._pause(CALL_LATENCY_S / 2 + self._store.extra_latency_s)
 
     async def _receive_answer(self, answer: Any) -> Any:
-        rows = answer.rows if isinstance(answer, TableReading) else []
+        rows = answer.rows if isinstance(answer, TableReadResult) else []
         size = 200 + sum(len(row.value or b"") for row in rows) * BASE64_GROWTH
         host = self._reactor.host
         transfer_s = self._store.network.transfer_s(STORE_HOST, host, int(size))
         await self._pause(CALL_LATENCY_S / 2 + transfer_s)
         if not self._store.is_reachable_from(self._reactor.host):
-            raise StoreUnavailable("no answer", is_undone=False)
+            raise StoreUnavailable("no answer", is_not_applied=False)
         return answer
 
     async def _pause(self, duration_s: float) -> None:
@@ -161,14 +163,14 @@
     def __init__(self, store: SimStore, reactor: SimReactor) -> None:
         self._table = SimTable(store, reactor)
 
-    async def read(self) -> tuple[OperatorOrders | None, TableReading]:
+    async def read(self) -> tuple[OperatorOrders | None, TableReadResult]:
         """Read the whole table."""
         reading = await self._table.read()
         return self.decode(reading.rows), reading
 
     async def watch(
         self, after: int, wait_s: float
-    ) -> tuple[OperatorOrders | None, TableReading]:
+    ) -> tuple[OperatorOrders | None, TableReadResult]:
         """Wait for changes."""
         reading = await self._table.watch(after, wait_s)
         return self.decode(reading.rows), reading
@@ -304,7 +306,7 @@
         clock.callLater(PROMOTION_DELAY_S, group.complete_promotion, target)
 
 
-class SimQuestions:
+class SimTargetAdminClient:
     """Queries to targets, without real connections."""
 
     def __init__(self, group: SimGroup, reactor: SimReactor) -> None:
@@ -319,7 +321,7 @@
             is_blocked(own_host, target.host) or is_blocked(target.host, own_host)
         )
 
-    async def dial(self, entry: TargetEntry) -> Any:
+    async def open_connection(self, entry: TargetEntry) -> Any:
         """Open a connection."""
         target = self._find(entry)
         await deferLater(self._reactor, CALL_LATENCY_S, lambda: None)
@@ -333,7 +335,7 @@
     async def status(self, entry: TargetEntry) -> TargetStatus | None:
         """Return the role, term and log position of a target, None if unreachable."""
         try:
-            await self.dial(entry)
+            await self.open_connection(entry)
         except TargetUnreachable:
             return None
         target = self._find(entry)
--- a/packages/guavabarrow-daemon/tests/test_duty_service.py
+++ b/packages/guavabarrow-daemon/tests/test_duty_service.py
@@ -29,7 +29,7 @@
 from guavabarrow_daemon.fleet.fleet_service import FleetService
 from guavabarrow_daemon.fleet.peer_links import PeerLinks
 from guavabarrow_daemon.kernel import Kernel, Service
-from guavabarrow_daemon.store.watched_table import Written
+from guavabarrow_daemon.store.watched_table import TableWriteResult
 
 OWN, HOLDER, UNREACHABLE = "a", "b", "c"
 OTHERS = frozenset({"d", "e"})
@@ -78,10 +78,10 @@
     def table_age_s(self) -> float:
         return self.age_s
 
-    async def write(self, key: str, row) -> Written:
+    async def write(self, key: str, row) -> TableWriteResult:
         self.written.append((key, row))
         self.put_row(key, row)
-        return Written(True, self.state.version, 0.0)
+        return TableWriteResult(True, self.state.version, 0.0)
 
 
 class Harness:
--- a/packages/guavabarrow-daemon/tests/test_http_caller.py
+++ b/packages/guavabarrow-daemon/tests/test_http_caller.py
@@ -72,7 +72,7 @@
 def test_call_without_received_data_times_out(call):
     call.clock.advance(IDLE_TIMEOUT_S + 0.1)
     assert call.outcome[0].check(StoreUnavailable)
-    assert not call.outcome[0].value.is_undone
+    assert not call.outcome[0].value.is_not_applied
     assert call.pool.connection.is_aborted
 
 
@@ -97,5 +97,5 @@
 
 def test_rejected_call_has_no_effect(call):
     call.pool.connection.pending.callback(HttpResponse(503, b"", {}))
-    assert call.outcome[0].value.is_undone
+    assert call.outcome[0].value.is_not_applied
     assert call.results == ["503"]
--- a/packages/guavabarrow-daemon/tests/test_permit_pool.py
+++ b/packages/guavabarrow-daemon/tests/test_permit_pool.py
@@ -9,7 +9,10 @@
 from guavabarrow_core.exceptions import DeadlineExceeded, Overloaded
 from guavabarrow_core.fair_queue import MAX_QUEUED_PER_TEAM
 from guavabarrow_core.fleet import Target
-from guavabarrow_daemon.targets.interface import TargetBroken, TargetUnreachable
+from guavabarrow_daemon.targets.interface import (
+    TargetConnectionBroken,
+    TargetUnreachable,
+)
 from guavabarrow_daemon.targets.permit_pool import PermitPool
 
 
@@ -31,7 +34,7 @@
 
     async def connect(self, host, port):
         if self.is_down:
-            raise TargetBroken("refused")
+            raise TargetConnectionBroken("refused")
         connection = FakeConnection()
         self.opened.append(connection)
         return connection
--- a/packages/guavabarrow-daemon/tests/test_session_pool.py
+++ b/packages/guavabarrow-daemon/tests/test_session_pool.py
@@ -40,7 +40,7 @@
             on_evidence=lambda target_id, evidence: None,
             count_handshake=lambda result: None,
         )
-        self.even_part, self.most = 2, 3
+        self.fair_share, self.connection_limit = 2, 3
         self.handshakes: list[str] = []
 
     async def _open(self, team: str) -> None:
@@ -162,7 +162,7 @@
 def test_team_with_many_statements_does_not_starve_another():
     """One team sends five statements before another sends its first."""
     pool = ManualPool()
-    pool.most = 1
+    pool.connection_limit = 1
     many = [request_connection(pool, "many") for _ in range(5)]
     connection = pool.complete()
     assert many[0] == [connection]
--- a/packages/guavabarrow-daemon/tests/test_settings.py
+++ b/packages/guavabarrow-daemon/tests/test_settings.py
@@ -56,5 +56,5 @@
 def test_override_replaces_an_address_to_connect_to():
     overrides = {"10.0.0.1:5": "127.0.0.1:6"}
     settings = Settings.from_text(json.dumps(document(address_overrides=overrides)))
-    assert settings.dial_address("10.0.0.1", 5) == ("127.0.0.1", 6)
-    assert settings.dial_address("10.0.0.2", 5) == ("10.0.0.2", 5)
+    assert settings.resolve_address("10.0.0.1", 5) == ("127.0.0.1", 6)
+    assert settings.resolve_address("10.0.0.2", 5) == ("10.0.0.2", 5)
--- a/tests/mutations/__init__.py
+++ b/tests/mutations/__init__.py
@@ -1,1 +1,1 @@
-"""Edits that must turn tests red."""
+"""Mutations of the core that must make its tests fail."""
--- a/tests/mutations/catalogue.py
+++ b/tests/mutations/catalogue.py
@@ -52,7 +52,7 @@
     ),
     Mutation(
         "fleet_state",
-        "if row is None or row.phase is not PrimaryPhase.SETTLED:",
+        "if row is None or row.phase is not LeadPhase.SETTLED:",
         "if row is None:",
         "test_fleet_state",
     ),
--- a/tests/platform_adapter/test_session_vm.py
+++ b/tests/platform_adapter/test_session_vm.py
@@ -8,7 +8,7 @@
 import pytest
 from local_deployment import KEY, TEAM, Caller, wait_for
 
-from guavabarrow_cli.commands.beliefs_command import beliefs, fetch_beliefs
+from guavabarrow_cli.commands.beliefs_command import beliefs, fetch_local_view
 
 pytestmark = pytest.mark.processes
 
@@ -286,7 +286,7 @@
 def test_a_vm_reports_its_local_view(deployment, capsys):
     vm = deployment.start_vm("vm-1")
     address = f"127.0.0.1:{vm.metrics_port}"
-    view = fetch_beliefs(address)
+    view = fetch_local_view(address)
     assert view.is_registered
     assert view.duty_holder == "vm-1"
     assert [p.may_be_used for p in view.primaries] == [True]
@@ -298,7 +298,7 @@
 
 def test_reading_the_local_view_of_an_unreachable_vm_fails(capsys):
     with pytest.raises(SystemExit):
-        fetch_beliefs("127.0.0.1:1")
+        fetch_local_view("127.0.0.1:1")
     with pytest.raises(SystemExit):
-        fetch_beliefs("nowhere")
+        fetch_local_view("nowhere")
     assert "HOST:PORT" in capsys.readouterr().err
