--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -1,6 +1,6 @@
-"""Distribution of the failover gap over kills of the primary, on real processes.
+"""Measures the failover gap over repeated kills of the primary, on real processes.
 
-Callers write all the time; the gap is the time from SIGKILL of the primary to the
+Callers write continuously; the gap is the time from SIGKILL of the primary to the
 first write that was sent after it and acknowledged. Prints one JSON document.
 
 Usage: python benchmarks/failover.py [KILLS] [POLICY]
@@ -60,7 +60,7 @@
             ports = [fleet.port_by_name[vm] for vm in fleet.vms]
             setup = Caller(ports, TEAM.key)
             assert setup.write("CREATE TABLE entry (row TEXT)").ok
-            with Workload(ports, TEAM.key, size=4, pause_s=0.02) as workload:
+            with Workload(ports, TEAM.key, session_count=4, pause_s=0.02) as workload:
                 for _ in range(kills):
                     gaps.append(measure_gap(fleet, workload))
             violations = workload.history.check(workload.final_rows(setup))
@@ -86,12 +86,15 @@
 
 
 def measure_gap(fleet: ProcessFleet, workload: Workload) -> float:
-    """Kill the primary, wait for an acknowledged write, and restart it."""
+    """Kill the primary, wait for an acknowledged write, and restart it.
+
+    Returns the failover gap, seconds.
+    """
     primary = fleet.primary(SERVICE)
     killed_at = time.monotonic()
     fleet.kill(primary)
 
-    def first_after() -> float | None:
+    def first_acknowledgement() -> float | None:
         times = [
             write.answered_at
             for write in workload.history.writes[-50:]
@@ -99,14 +102,14 @@
         ]
         return min(times, default=None)
 
-    acknowledged_at = wait_until(first_after, "a write is acknowledged")
+    acknowledged_at = wait_until(first_acknowledgement, "a write is acknowledged")
     fleet.restart(primary)
     wait_until(
         lambda: all(
             target.age_s is not None and target.age_s < 1.0
             for target in fleet.group(fleet.vms[0], SERVICE).targets
         ),
-        "all databases follow",
+        "all databases are up to date",
     )
     return acknowledged_at - killed_at
 
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,6 +1,6 @@
-"""Throughput and added latency of the statement path, against direct calls.
+"""Measures throughput and added latency of a VM, compared with direct calls.
 
-Runs platform, three databases and one entry VM as processes of their own, and a
+Runs the platform, three databases and one entry VM as separate processes, and a
 closed loop of callers in this process. Prints one JSON document.
 """
 
@@ -50,15 +50,15 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time of a process."""
+    """Return the user and system CPU time of a process, seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / 100
 
 
-async def closed_loop(
-    port: int, callers: int, build: Any, *, connect: bool
+async def run_closed_loop(
+    port: int, callers: int, build_request: Any, *, connect: bool
 ) -> dict[str, float]:
-    """Run callers that send the next request once the last one is answered."""
+    """Run callers that send the next request after the last response."""
     histogram = HdrHistogram(1, 60_000_000, 3)
     end_at = time.monotonic() + DURATION_S
     failed = 0
@@ -70,7 +70,7 @@
             body = msgspec.json.encode(Connect(SECRET_BY_USE["target"]))
             await connection.request("POST", "/connect", body)
         while time.monotonic() < end_at:
-            path, body, headers = build()
+            path, body, headers = build_request()
             started_at = time.monotonic()
             response = await connection.request("POST", path, body, headers)
             histogram.record_value(max(1, int((time.monotonic() - started_at) * 1e6)))
@@ -88,44 +88,46 @@
     }
 
 
-def build_direct() -> tuple[str, bytes, None]:
-    """Return a read as an entry VM would send it."""
+def build_database_request() -> tuple[str, bytes, None]:
+    """Return a read request to a database, as an entry VM sends it."""
     return "/execute", msgspec.json.encode(Execute(READ_SQL, read=True)), None
 
 
-def build_through(sql: str, *, read: bool) -> Any:
+def vm_request_builder(sql: str, *, read: bool) -> Any:
     """Return a builder of requests to the entry VM."""
     body = msgspec.json.encode({"sql": sql, "read": read})
     path = f"/v1/services/{SERVICE}/statements"
 
-    def build() -> tuple[str, bytes, dict[str, str]]:
+    def build_request() -> tuple[str, bytes, dict[str, str]]:
         headers = {"Authorization": f"Bearer {TEAM.key}"}
         if not read:
             headers["Request-Id"] = create_request_id(time.time())
         return path, body, headers
 
-    return build
+    return build_request
 
 
 async def measure(fleet: ProcessFleet) -> list[dict[str, Any]]:
-    """Run all cases."""
+    """Run all cases for each number of callers and return their results."""
     vm = "vm-1"
     vm_port = fleet.port_by_name[vm]
     database_port = fleet.port_by_name[f"{SERVICE}-a"]
-    create = build_through("CREATE TABLE bench (n INTEGER)", read=False)
+    build_create = vm_request_builder("CREATE TABLE bench (n INTEGER)", read=False)
     connection = await open_connection(reactor, LOOPBACK, vm_port)
-    path, body, headers = create()
+    path, body, headers = build_create()
     await connection.request("POST", path, body, headers)
     connection.abort()
     cases = []
     for callers in CALLERS:
-        for name, port, build, connect in (
-            ("direct read", database_port, build_direct, True),
-            ("read", vm_port, build_through(READ_SQL, read=True), False),
-            ("write", vm_port, build_through(WRITE_SQL, read=False), False),
+        for name, port, build_request, connect in (
+            ("direct read", database_port, build_database_request, True),
+            ("read", vm_port, vm_request_builder(READ_SQL, read=True), False),
+            ("write", vm_port, vm_request_builder(WRITE_SQL, read=False), False),
         ):
             cpu_before = cpu_seconds(fleet.process_by_name[vm].pid)
-            result = await closed_loop(port, callers, build, connect=connect)
+            result = await run_closed_loop(
+                port, callers, build_request, connect=connect
+            )
             cpu_s = cpu_seconds(fleet.process_by_name[vm].pid) - cpu_before
             count = result["per_s"] * DURATION_S
             result["vm_us_per_statement"] = round(cpu_s / count * 1e6, 1)
--- a/benchmarks/reads.py
+++ b/benchmarks/reads.py
@@ -1,6 +1,6 @@
-"""Share of reads on replicas and latency by read policy, on real processes.
+"""Measures replica share and latency of reads by read policy, on real processes.
 
-Sessions write, move to another VM and read at once, at 50 ms replication lag. Prints
+Sessions write, switch to another VM and read at once, at 50 ms replication lag. Prints
 one JSON document for each policy.
 """
 
@@ -25,30 +25,30 @@
 TEAM = LayoutTeam("kilima", (SERVICE,), rate_per_s=1e6, burst=1e6)
 POLICIES = ("adaptive", "fixed_wait", "primary_only")
 SESSIONS = 6
-TURNS = 40
+WRITES_PER_SESSION = 40
 READS_PER_WRITE = 4
 
 
-def run_session(ports: list[int], number: int, seen: list[tuple[str, float]]) -> int:
-    """Write and read; return the number of reads that missed the own write."""
+def run_session(ports: list[int], number: int, samples: list[tuple[str, float]]) -> int:
+    """Write and read; return the number of reads that missed the session's write."""
     caller = Caller(ports, TEAM.key)
-    caller.move(number)
+    caller.switch_vm(number)
     stale = 0
-    for turn in range(TURNS):
-        row = f"{number}/{turn}"
+    for write_number in range(WRITES_PER_SESSION):
+        row = f"{number}/{write_number}"
         assert caller.write("INSERT INTO entry VALUES (?)", row).ok
         for _ in range(READS_PER_WRITE):
-            caller.move()
+            caller.switch_vm()
             started_at = time.monotonic()
-            answer = caller.read("SELECT row FROM entry WHERE row = ?", row)
-            assert answer.ok, answer
-            seen.append((answer.body["source"], time.monotonic() - started_at))
-            stale += answer.body["rows"] != [[row]]
+            response = caller.read("SELECT row FROM entry WHERE row = ?", row)
+            assert response.ok, response
+            samples.append((response.body["source"], time.monotonic() - started_at))
+            stale += response.body["rows"] != [[row]]
     return stale
 
 
 def measure(policy: str) -> dict[str, object]:
-    """Return the figures of one policy."""
+    """Run all sessions under one read policy and return the results."""
     layout = Layout(
         vm_domains=DOMAINS,
         services=(LayoutService(SERVICE, DOMAINS, 20, 3),),
@@ -56,8 +56,8 @@
         lag_ms=50.0,
         policies={"reads": policy},
     )
-    seen: list[tuple[str, float]] = []
-    stale: list[int] = []
+    samples: list[tuple[str, float]] = []
+    stale_counts: list[int] = []
     with TemporaryDirectory(prefix="guavabarrow-") as directory:
         fleet = ProcessFleet(layout, Path(directory), has_vm_relays=False)
         try:
@@ -66,7 +66,9 @@
             assert Caller(ports, TEAM.key).write("CREATE TABLE entry (row TEXT)").ok
             threads = [
                 threading.Thread(
-                    target=lambda n=number: stale.append(run_session(ports, n, seen))
+                    target=lambda n=number: stale_counts.append(
+                        run_session(ports, n, samples)
+                    )
                 )
                 for number in range(SESSIONS)
             ]
@@ -76,13 +78,13 @@
                 thread.join()
         finally:
             fleet.stop()
-    times = sorted(duration for _, duration in seen)
-    replica = sum(source == "replica" for source, _ in seen)
+    times = sorted(duration for _, duration in samples)
+    replica_count = sum(source == "replica" for source, _ in samples)
     return {
         "policy": policy,
-        "reads": len(seen),
-        "replica_share": round(replica / len(seen), 4),
-        "stale": sum(stale),
+        "reads": len(samples),
+        "replica_share": round(replica_count / len(samples), 4),
+        "stale": sum(stale_counts),
         "p50_ms": round(times[len(times) // 2] * 1000, 2),
         "p99_ms": round(times[int(len(times) * 0.99)] * 1000, 2),
     }
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,7 +1,8 @@
-"""Slopes of idle control work against VMs, databases, teams and connections.
+"""Measures how the idle cost of VMs grows with VMs, databases, teams and connections.
 
-Starts fleets of real processes without callers, lets them settle, and reads processor
-time, memory, bytes between VMs and store operations. Prints a JSON document a line.
+Starts fleets of real processes without callers, waits for them to settle, and measures
+CPU time, memory, bytes between VMs and store operations. Prints one JSON document per
+line.
 
 Usage: python benchmarks/slopes.py [INDEX OF CASE ...]
 """
@@ -51,7 +52,7 @@
 
 
 def memory_mb(pid: int) -> float:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process, MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
@@ -59,14 +60,14 @@
 
 
 def store_operations(fleet: ProcessFleet) -> int:
-    """Return the operations that the platform has counted."""
+    """Return the number of store operations that the platform has served."""
     connection = HTTPConnection(LOOPBACK, fleet.port_by_name["platform"], timeout=5)
     connection.request("GET", "/operations")
     return sum(json.loads(connection.getresponse().read()).values())
 
 
 def create_fleet(directory: str, vms: int, services: int, teams: int) -> ProcessFleet:
-    """Return a fleet of a size."""
+    """Return a fleet that is not started yet."""
     names = [f"core-{number}" for number in range(services)]
     layout = Layout(
         vm_domains=DOMAINS * (vms // len(DOMAINS)),
@@ -77,7 +78,7 @@
 
 
 def measure_idle(fleet: ProcessFleet) -> dict[str, Any]:
-    """Return the work of the idle fleet, per VM and second."""
+    """Return the resource use of the idle fleet, per VM and second."""
     pids = [fleet.process_by_name[vm].pid for vm in fleet.vms]
     sample = fleet.vms[:3]
     time.sleep(SETTLE_S)
@@ -106,8 +107,8 @@
     }
 
 
-def measure_force(fleet: ProcessFleet) -> dict[str, Any]:
-    """Return the time until changes are in force at all VMs."""
+def measure_propagation(fleet: ProcessFleet) -> dict[str, Any]:
+    """Return median and worst time until all VMs have applied a change, seconds."""
     times = [
         fleet.admin(fleet.vms[number % 3])
         .change([PutTemplate(Template(f"probe-{number}"))], author="bench")
@@ -118,7 +119,7 @@
 
 
 def measure_connections(fleet: ProcessFleet) -> dict[str, Any]:
-    """Return the memory of a VM against idle connections of callers."""
+    """Return the memory of a VM by the number of idle caller connections."""
     vm = fleet.vms[0]
     pid = fleet.process_by_name[vm].pid
     sockets: list[socket.socket] = []
@@ -144,7 +145,7 @@
             fleet = create_fleet(directory, vms, services, teams)
             try:
                 fleet.start()
-                result = measure_idle(fleet) | measure_force(fleet)
+                result = measure_idle(fleet) | measure_propagation(fleet)
                 if (vms, services, teams) == ALL_CASES[0]:
                     result |= measure_connections(fleet)
             finally:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,25 +7,25 @@
 import pytest
 from harness.world import World
 
-KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
-KNOWN_RED_TEST = "test, flaky: "
+KNOWN_FAILURES_FILE = Path(__file__).parents[1] / "KNOWN-RED.txt"
+FLAKY_TEST_PREFIX = "test, flaky: "
 
 
 @pytest.fixture
 def world(tmp_path: Path):
-    """A fleet that the steps of a scenario act on."""
+    """Provide the shared state of a scenario; stop its fleet at the end."""
     world = World(tmp_path)
     yield world
     world.stop()
 
 
 def pytest_collection_modifyitems(items):
-    """Run the tests that KNOWN-RED.txt names, and pass over their failures alone."""
-    known = {
-        line.removeprefix(KNOWN_RED_TEST).partition(": ")[0]
-        for line in KNOWN_RED.read_text().splitlines()
-        if line.startswith(KNOWN_RED_TEST)
+    """Mark the flaky tests of KNOWN-RED.txt as xfail, so that only they may fail."""
+    flaky_ids = {
+        line.removeprefix(FLAKY_TEST_PREFIX).partition(": ")[0]
+        for line in KNOWN_FAILURES_FILE.read_text().splitlines()
+        if line.startswith(FLAKY_TEST_PREFIX)
     }
     for item in items:
-        if item.nodeid in known:
+        if item.nodeid in flaky_ids:
             item.add_marker(pytest.mark.xfail(reason="KNOWN-RED.txt", strict=False))
--- a/tests/harness/broken_vm.py
+++ b/tests/harness/broken_vm.py
@@ -1,4 +1,4 @@
-"""Runs the daemon with one promise broken on purpose; the proofs must notice.
+"""Runs the daemon with an injected fault that the tests must detect.
 
 Usage: python -m harness.broken_vm FAULT run --config FILE
 """
@@ -22,8 +22,8 @@
 from guavabarrow_daemon.statement_service import StatementService
 
 
-def acknowledge_at_once() -> None:
-    """Acknowledges on the primary's word alone."""
+def acknowledge_without_replicas() -> None:
+    """Acknowledge writes that only the primary has stored."""
 
     async def wait_durable(self, position, *, deadline):
         return Durability.DURABLE
@@ -31,19 +31,19 @@
     Group.wait_durable = wait_durable
 
 
-def forget_sessions() -> None:
-    """Reads from any replica, whatever the session has written."""
+def ignore_session_position() -> None:
+    """Read from any replica, even one that lacks the session's writes."""
     original = StatementService.read
 
-    async def read(self, context, service, message, demand):
-        demand = replace(demand, position=LogPosition(0, 0))
-        return await original(self, context, service, message, demand)
+    async def read(self, context, service, message, requirement):
+        requirement = replace(requirement, position=LogPosition(0, 0))
+        return await original(self, context, service, message, requirement)
 
     StatementService.read = read
 
 
-def forget_ids() -> None:
-    """Repeats writes without their request id."""
+def drop_request_ids() -> None:
+    """Send writes without their request id, so that retries aren't deduplicated."""
     original = StatementService.write
 
     async def write(self, context, service, message):
@@ -53,18 +53,18 @@
     StatementService.write = write
 
 
-def deny_doubt() -> None:
-    """Reports every unknown outcome as not run."""
+def report_unknown_as_not_run() -> None:
+    """Report every unknown outcome as not run."""
     OutcomeUnknown.ran = ExecutionStatus.NOT_RUN
 
 
-def believe_any_age() -> None:
-    """Takes whatever a database reports for current."""
+def ignore_replica_age() -> None:
+    """Treat the data of every database as current."""
     GroupView.safe_time = lambda self, report: float("inf")
 
 
-def admit_everything() -> None:
-    """Ignores rates."""
+def disable_rate_limits() -> None:
+    """Admit every request regardless of the team's rate."""
 
     async def admit(self, team, *, cost, deadline):
         return None
@@ -72,20 +72,20 @@
     LedgerService.admit = admit
 
 
-def keep_keys() -> None:
-    """Goes on accepting withdrawn keys."""
+def keep_withdrawn_keys() -> None:
+    """Keep accepting withdrawn keys."""
     original = KeyService._apply
 
     def apply(self, fleet):
-        known = self._ring._owner_by_hash
+        previous_owners = self._ring._owner_by_hash
         original(self, fleet)
-        self._ring = KeyRing(known | self._ring._owner_by_hash)
+        self._ring = KeyRing(previous_owners | self._ring._owner_by_hash)
 
     KeyService._apply = apply
 
 
-def serve_every_team() -> None:
-    """Does not look at the services that a team reaches."""
+def skip_service_check() -> None:
+    """Skip the check that a team may use the service."""
     original = CallerApi._admit
 
     async def admit(self, context, service):
@@ -97,14 +97,14 @@
 FAULTS = {
     fault.__name__: fault
     for fault in (
-        acknowledge_at_once,
-        forget_sessions,
-        forget_ids,
-        deny_doubt,
-        believe_any_age,
-        admit_everything,
-        keep_keys,
-        serve_every_team,
+        acknowledge_without_replicas,
+        ignore_session_position,
+        drop_request_ids,
+        report_unknown_as_not_run,
+        ignore_replica_age,
+        disable_rate_limits,
+        keep_withdrawn_keys,
+        skip_service_check,
     )
 }
 
--- a/tests/harness/caller.py
+++ b/tests/harness/caller.py
@@ -1,4 +1,4 @@
-"""A blocking caller that records what it saw, and a workload of them in threads."""
+"""A blocking HTTP caller, and a threaded workload that records a history."""
 
 from __future__ import annotations
 
@@ -19,7 +19,9 @@
 
 
 @dataclass
-class Answer:
+class Response:
+    """Status, JSON body and headers of a response; status 0: no response."""
+
     status: int
     body: dict[str, Any]
     headers: dict[str, str] = field(default_factory=dict)
@@ -36,23 +38,23 @@
 
 
 class Caller:
-    """One session; it moves between VMs and carries its token along."""
+    """One session; it keeps its session token when it switches to another VM."""
 
     def __init__(
         self, ports: list[int], key: str, *, name: str = "s", deadline_s: float = 15.0
     ) -> None:
         self.name = name
         self.token: str | None = None
-        self.position = 0
+        self.vm_index = 0
         self._ports = ports
         self._key = key
         self.deadline_s = deadline_s
         self._connection: HTTPConnection | None = None
 
-    def move(self, position: int | None = None) -> None:
+    def switch_vm(self, vm_index: int | None = None) -> None:
         self.close()
-        following = self.position + 1 if position is None else position
-        self.position = following % len(self._ports)
+        next_index = self.vm_index + 1 if vm_index is None else vm_index
+        self.vm_index = next_index % len(self._ports)
 
     def close(self) -> None:
         if self._connection is not None:
@@ -61,34 +63,34 @@
 
     def post(
         self, path: str, body: Any, headers: dict[str, str] | None = None
-    ) -> Answer:
-        sent = {
+    ) -> Response:
+        request_headers = {
             "Authorization": f"Bearer {self._key}",
             "Deadline-Ms": str(self.deadline_s * 1000),
             **(headers or {}),
         }
         if self.token:
-            sent["Session-Token"] = self.token
+            request_headers["Session-Token"] = self.token
         if self._connection is None:
-            port = self._ports[self.position]
+            port = self._ports[self.vm_index]
             self._connection = HTTPConnection(
                 LOOPBACK, port, timeout=self.deadline_s + 10
             )
         try:
-            self._connection.request("POST", path, json.dumps(body), sent)
-            response = self._connection.getresponse()
-            content = json.loads(response.read())
+            self._connection.request("POST", path, json.dumps(body), request_headers)
+            http_response = self._connection.getresponse()
+            content = json.loads(http_response.read())
         except (OSError, HTTPException, ValueError) as error:
             self.close()
-            return Answer(0, {"code": "broken", "detail": repr(error)})
-        self.token = response.headers.get("Session-Token", self.token)
-        if response.will_close:
+            return Response(0, {"code": "broken", "detail": repr(error)})
+        self.token = http_response.headers.get("Session-Token", self.token)
+        if http_response.will_close:
             self.close()
-        return Answer(response.status, content, dict(response.headers))
+        return Response(http_response.status, content, dict(http_response.headers))
 
     def write(
         self, sql: str, *params: Any, request_id: str = "", service: str = SERVICE
-    ) -> Answer:
+    ) -> Response:
         headers = {"Request-Id": request_id or create_request_id(time.time())}
         body = {"sql": sql, "params": params}
         return self.post(f"/v1/services/{service}/statements", body, headers)
@@ -99,34 +101,39 @@
         *params: Any,
         max_age_ms: float | None = None,
         service: str = SERVICE,
-    ) -> Answer:
+    ) -> Response:
         body: dict[str, Any] = {"sql": sql, "params": params, "read": True}
         if max_age_ms is not None:
             body["max_age_ms"] = max_age_ms
         return self.post(f"/v1/services/{service}/statements", body)
 
     def begin(self, service: str = SERVICE) -> str:
-        answer = self.post(f"/v1/services/{service}/transactions", {})
-        assert answer.ok, answer
-        return answer.body["transaction_id"]
+        response = self.post(f"/v1/services/{service}/transactions", {})
+        assert response.ok, response
+        return response.body["transaction_id"]
 
-    def execute(self, transaction: str, sql: str, *params: Any) -> Answer:
+    def execute(self, transaction: str, sql: str, *params: Any) -> Response:
         path = f"/v1/transactions/{transaction}/statements"
         return self.post(path, {"sql": sql, "params": params})
 
-    def commit(self, transaction: str, request_id: str = "") -> Answer:
+    def commit(self, transaction: str, request_id: str = "") -> Response:
         headers = {"Request-Id": request_id} if request_id else {}
         return self.post(f"/v1/transactions/{transaction}/commit", {}, headers)
 
 
 class Workload:
-    """Sessions that insert rows and read them back until they are stopped."""
+    """Sessions that insert rows and read them back until the workload ends."""
 
     def __init__(
-        self, ports: list[int], key: str, *, size: int = 6, pause_s: float = 0.01
+        self,
+        ports: list[int],
+        key: str,
+        *,
+        session_count: int = 6,
+        pause_s: float = 0.01,
     ) -> None:
         self.history = History()
-        self.failures: list[Answer] = []
+        self.failures: list[Response] = []
         self._ports = ports
         self._key = key
         self.deadline_s = 15.0
@@ -135,7 +142,7 @@
         self._lock = threading.Lock()
         self._threads = [
             threading.Thread(target=self._run, args=(number,), daemon=True)
-            for number in range(size)
+            for number in range(session_count)
         ]
 
     def __enter__(self) -> Workload:
@@ -154,47 +161,47 @@
 
     def _run(self, number: int) -> None:
         caller = Caller(self._ports, self._key, name=f"session-{number}")
-        caller.position = number % len(self._ports)
-        # Writes of its own would keep an observer off stale replicas.
+        caller.vm_index = number % len(self._ports)
+        # The observer never writes: read-your-writes would exclude stale replicas.
         observer = Caller(self._ports, self._key, name=f"observer-{number}")
-        observer.position = number % len(self._ports)
+        observer.vm_index = number % len(self._ports)
         count = 0
         while not self._stop.is_set():
             count += 1
             caller.deadline_s = self.deadline_s
             self._write(caller, f"{caller.name}/{count}")
             if count % 2:
-                caller.move()
+                caller.switch_vm()
             self._read(caller, f"{caller.name}/{count}", None)
             if count % 3 == 0:
-                observer.move()
+                observer.switch_vm()
                 observer.deadline_s = self.deadline_s
                 self._read(observer, f"{observer.name}/{count}", 2000.0)
             time.sleep(self._pause_s)
 
     def _write(self, caller: Caller, row: str) -> None:
-        """Write a row; an unknown outcome is asked for again with the same id."""
+        """Write a row; retry with the same request id while the outcome is unknown."""
         request_id = create_request_id(time.time())
         sent_at = time.monotonic()
-        in_doubt = False
+        has_unknown_attempt = False
         ran = ExecutionStatus.OUTCOME_UNKNOWN
         for _ in range(5):
-            answer = caller.write(
+            response = caller.write(
                 "INSERT INTO entry VALUES (?)", row, request_id=request_id
             )
-            if answer.status and not answer.ok:
-                self.failures.append(answer)
-            if answer.ran is ExecutionStatus.OUTCOME_UNKNOWN:
-                in_doubt = True
-                caller.move()
+            if response.status and not response.ok:
+                self.failures.append(response)
+            if response.ran is ExecutionStatus.OUTCOME_UNKNOWN:
+                has_unknown_attempt = True
+                caller.switch_vm()
                 time.sleep(0.05)
                 continue
-            # The refusal of a repeat says nothing about an earlier attempt.
-            if answer.ok or not in_doubt:
-                ran = answer.ran
-            if answer.ok:
+            # An error on a retry doesn't show whether an earlier attempt ran.
+            if response.ok or not has_unknown_attempt:
+                ran = response.ran
+            if response.ok:
                 break
-            if not in_doubt:
+            if not has_unknown_attempt:
                 break
         with self._lock:
             self.history.writes.append(
@@ -203,14 +210,14 @@
 
     def _read(self, caller: Caller, nonce: str, max_age_ms: float | None) -> None:
         sent_at = time.monotonic()
-        answer = caller.read("SELECT row, ? FROM entry", nonce, max_age_ms=max_age_ms)
-        if answer.status == 0:
-            caller.move()
+        response = caller.read("SELECT row, ? FROM entry", nonce, max_age_ms=max_age_ms)
+        if response.status == 0:
+            caller.switch_vm()
             return
-        if not answer.ok:
-            self.failures.append(answer)
+        if not response.ok:
+            self.failures.append(response)
             return
-        rows = answer.body["rows"]
+        rows = response.body["rows"]
         read = ObservedRead(
             caller.name,
             frozenset(row for row, _ in rows),
@@ -225,7 +232,7 @@
 
     def final_rows(self, caller: Caller) -> list[str]:
         with suppress(TimeoutError):
-            answer = caller.read("SELECT row FROM entry", max_age_ms=0)
-            assert answer.ok, answer
-            return [row for (row,) in answer.body["rows"]]
+            response = caller.read("SELECT row FROM entry", max_age_ms=0)
+            assert response.ok, response
+            return [row for (row,) in response.body["rows"]]
         return []
--- a/tests/harness/process_fleet.py
+++ b/tests/harness/process_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes on the loopback address, with faults."""
+"""A fleet of real processes on the loopback address, with fault injection."""
 
 from __future__ import annotations
 
@@ -42,25 +42,29 @@
     from guavabarrow_core.fleet import OpenRoute
     from guavabarrow_daemon.admin_api import GroupStatus, VmStatus
 
-READY_LIMIT_S = 30.0
-POLL_S = 0.05
+READY_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.05
 
 
-class NotReached(AssertionError):
-    """A condition did not come true in time."""
+class ConditionTimeout(AssertionError):
+    """A condition did not become true within its timeout."""
 
 
 def wait_until(
-    condition: Callable[[], Any], what: str, limit_s: float = READY_LIMIT_S
+    condition: Callable[[], Any], description: str, timeout_s: float = READY_TIMEOUT_S
 ) -> Any:
-    """Wait for an event; the limit only ends a hopeless wait."""
-    give_up_at = time.monotonic() + limit_s
-    while time.monotonic() < give_up_at:
+    """Poll a condition until it is true and return its value.
+
+    The timeout (seconds) is no expected duration: it only ends a wait that would
+    never succeed.
+    """
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
         value = condition()
         if value:
             return value
-        time.sleep(POLL_S)
-    raise NotReached(what)
+        time.sleep(POLL_INTERVAL_S)
+    raise ConditionTimeout(description)
 
 
 def post(port: int, path: str, body: Any) -> Any:
@@ -74,12 +78,12 @@
 
 @dataclass
 class ProcessFleet:
-    """Platform, relay, databases and entry VMs as processes of their own."""
+    """Runs the platform, relay, databases and entry VMs as separate processes."""
 
     layout: Layout
     directory: Path
     open_routes: tuple[OpenRoute, ...] = ()
-    vm_extra: dict[str, Any] = field(default_factory=dict)
+    extra_vm_settings: dict[str, Any] = field(default_factory=dict)
     has_vm_relays: bool = True
     fault: str = ""
     process_by_name: dict[str, subprocess.Popen] = field(default_factory=dict)
@@ -136,18 +140,18 @@
     def terminate(self, name: str) -> int:
         process = self.process_by_name.pop(name)
         process.send_signal(signal.SIGTERM)
-        return process.wait(timeout=READY_LIMIT_S)
+        return process.wait(timeout=READY_TIMEOUT_S)
 
-    def set_link(self, source: str, target: str, **faults: Any) -> None:
+    def set_link_faults(self, source: str, target: str, **faults: Any) -> None:
         body = {"prefix": f"{source}>{target}#", **faults}
         assert post(self.port_by_name["relay"], "/faults", body)["links"]
 
-    def cut_off(self, *nodes: str, cut: bool = True) -> None:
-        """Cut (or heal) all links between these nodes and all others."""
+    def isolate(self, *nodes: str, isolated: bool = True) -> None:
+        """Block (or unblock) all links between these nodes and all others."""
         for link in self.links:
             source, target = link.rstrip("#").split(">")
             if (source in nodes) != (target in nodes):
-                self.set_link(source, target, cut=cut)
+                self.set_link_faults(source, target, cut=isolated)
 
     def set_database_faults(self, database: str, **faults: Any) -> None:
         post(self.port_by_name[database], "/faults", faults)
@@ -155,7 +159,7 @@
     def set_platform_faults(self, **faults: Any) -> None:
         post(self.port_by_name["platform"], "/faults", faults)
 
-    # Views ------------------------------------------------------------------
+    # Status -----------------------------------------------------------------
 
     def admin(self, vm: str) -> AdminClient:
         address = f"{LOOPBACK}:{self.admin_port_by_vm[vm]}"
@@ -173,10 +177,10 @@
         return next(group for group in status.groups if group.service == service)
 
     def primary(self, service: str, vm: str | None = None) -> str:
-        """Return the primary that a VM knows, waiting until there is one."""
-        seen_by = vm or next(name for name in self.vms if name in self.process_by_name)
+        """Return the primary in the status of a VM, waiting until there is one."""
+        observer = vm or next(name for name in self.vms if name in self.process_by_name)
         return wait_until(
-            lambda: self.group(seen_by, service).primary, f"{service} has a primary"
+            lambda: self.group(observer, service).primary, f"{service} has a primary"
         )
 
     def metric(self, vm: str, name: str) -> float:
@@ -189,22 +193,22 @@
 
     def holder(self, domain: str, vm: str | None = None) -> str:
         """Return the ledger holder of a domain, waiting until there is one."""
-        seen_by = vm or next(name for name in self.vms if name in self.process_by_name)
+        observer = vm or next(name for name in self.vms if name in self.process_by_name)
 
-        def find() -> str | None:
-            status = self.status(seen_by)
+        def find_holder() -> str | None:
+            status = self.status(observer)
             members = status.members if status else []
             return next(
                 (m.vm for m in members if m.domain == domain and m.ledger_holder),
                 None,
             )
 
-        return wait_until(find, f"{domain} has a ledger holder")
+        return wait_until(find_holder, f"{domain} has a ledger holder")
 
     # Processes --------------------------------------------------------------
 
     def restart(self, name: str) -> None:
-        """Start a VM or database again at its address."""
+        """Start a VM or database again at its previous address."""
         if name in self.vms:
             self.start_vm(name)
         else:
@@ -214,7 +218,7 @@
     def start_vm(self, vm: str) -> None:
         domain = self.domain_by_node[vm]
         seeds = [f"{LOOPBACK}:{port}" for port in self.peer_port_by_vm.values()]
-        document = vm_settings(
+        settings = vm_settings(
             vm=vm,
             domain=domain,
             ports=(
@@ -224,12 +228,12 @@
             ),
             platform_port=self.port_by_name["platform"],
             seed_peers=seeds,
-            address_overrides=self._overrides(vm),
+            address_overrides=self._address_overrides(vm),
             policies=self.layout.policies,
-            **self.vm_extra,
+            **self.extra_vm_settings,
         )
         path = self.directory / f"{vm}.json"
-        path.write_text(json.dumps(document))
+        path.write_text(json.dumps(settings))
         command = ["run", "--config", str(path)]
         if self.fault:
             self._spawn(vm, "harness.broken_vm", self.fault, *command)
@@ -295,9 +299,9 @@
 
     def _wait_listening(self, name: str) -> None:
         port = self.port_by_name[name]
-        wait_until(lambda: self._accepts(port), f"{name} listens on {port}")
+        wait_until(lambda: self._accepts_connections(port), f"{name} listens on {port}")
 
-    def _accepts(self, port: int) -> bool:
+    def _accepts_connections(self, port: int) -> bool:
         connection = HTTPConnection(LOOPBACK, port, timeout=1)
         try:
             connection.connect()
@@ -322,21 +326,21 @@
                 self.domain_by_node[name] = domain
                 for peer in names:
                     if peer != name:
-                        self._link(allocator, name, peer, self.port_by_name[peer])
+                        self._add_link(allocator, name, peer, self.port_by_name[peer])
         for vm in self.vms if self.has_vm_relays else ():
-            self._link(allocator, vm, "platform", self.port_by_name["platform"])
+            self._add_link(allocator, vm, "platform", self.port_by_name["platform"])
             for database in self.databases:
-                self._link(allocator, vm, database, self.port_by_name[database])
+                self._add_link(allocator, vm, database, self.port_by_name[database])
             for peer in self.vms:
                 if peer != vm:
-                    self._link(allocator, vm, peer, self.peer_port_by_vm[peer])
+                    self._add_link(allocator, vm, peer, self.peer_port_by_vm[peer])
 
-    def _link(
+    def _add_link(
         self, allocator: PortAllocator, source: str, target: str, target_port: int
     ) -> None:
         self.links[f"{source}>{target}#"] = (allocator.allocate(), target_port)
 
-    def _overrides(self, vm: str) -> dict[str, str]:
+    def _address_overrides(self, vm: str) -> dict[str, str]:
         return {
             f"{LOOPBACK}:{target_port}": f"{LOOPBACK}:{port}"
             for link, (port, target_port) in self.links.items()
@@ -385,7 +389,7 @@
     body: bytes = b"",
     headers: dict[str, str] | None = None,
 ) -> tuple[int, dict[str, Any], dict[str, str]]:
-    """Send one request on a connection of its own."""
+    """Send one request on a new connection; return status, body and headers."""
     connection = HTTPConnection(LOOPBACK, port, timeout=30)
     try:
         connection.request(method, path, body, headers or {})
--- a/tests/harness/world.py
+++ b/tests/harness/world.py
@@ -1,4 +1,4 @@
-"""State that the steps of one scenario share."""
+"""State shared by the steps of a scenario."""
 
 from __future__ import annotations
 
@@ -20,10 +20,12 @@
 
 @dataclass
 class World:
+    """Fleet, workload and named values that the steps share."""
+
     directory: Path
     fleet: ProcessFleet | None = None
     workload: Workload | None = None
-    facts: dict[str, Any] = field(default_factory=dict)
+    state: dict[str, Any] = field(default_factory=dict)
 
     def start(
         self,
@@ -34,7 +36,7 @@
         connections: int = 20,
         statement_ms: float = 0.0,
         fault: str = "",
-        **vm_extra: Any,
+        **extra_vm_settings: Any,
     ) -> ProcessFleet:
         services = (
             LayoutService(SERVICE, DOMAINS, connections, 3),
@@ -45,11 +47,15 @@
         )
         route = OpenRoute("notice", SERVICE, "SELECT 'open' AS notice")
         self.fleet = ProcessFleet(
-            layout, self.directory, open_routes=(route,), vm_extra=vm_extra, fault=fault
+            layout,
+            self.directory,
+            open_routes=(route,),
+            extra_vm_settings=extra_vm_settings,
+            fault=fault,
         )
         self.fleet.start()
-        answer = self.caller().write("CREATE TABLE entry (row TEXT)")
-        assert answer.ok, answer
+        response = self.caller().write("CREATE TABLE entry (row TEXT)")
+        assert response.ok, response
         return self.fleet
 
     def stop(self) -> None:
@@ -93,10 +99,10 @@
         return workload
 
     def rows(self) -> list[str]:
-        serving = [
+        ready_ports = [
             port for port in self.ports if request(port, "GET", "/readyz")[0] == 200
         ]
-        caller = Caller(serving, KILIMA.key)
-        answer = caller.read("SELECT row FROM entry", max_age_ms=0)
-        assert answer.ok, answer
-        return [row for (row,) in answer.body["rows"]]
+        caller = Caller(ready_ports, KILIMA.key)
+        response = caller.read("SELECT row FROM entry", max_age_ms=0)
+        assert response.ok, response
+        return [row for (row,) in response.body["rows"]]
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The binaries as operators and testers call them."""
+"""Tests of the command-line programs against a fleet of real processes."""
 
 from __future__ import annotations
 
@@ -31,31 +31,31 @@
 def test_operator_commands(world):
     fleet = world.start()
     admin = f"--admin={admin_address(world)}"
-    given = run("key", "give", "kilima", "second", admin)
-    assert given.returncode == 0, given.stderr
-    assert "in force at all 3 VMs" in given.stdout
-    key = given.stdout.splitlines()[0].split(": ")[1]
+    created = run("key", "give", "kilima", "second", admin)
+    assert created.returncode == 0, created.stderr
+    assert "in force at all 3 VMs" in created.stdout
+    key = created.stdout.splitlines()[0].split(": ")[1]
     assert Caller(world.ports, key).read("SELECT 1").ok
 
-    shown = run("status", "show", "--json", admin)
-    assert {m["vm"] for m in json.loads(shown.stdout)["members"]} == set(fleet.vms)
+    status = run("status", "show", "--json", admin)
+    assert {m["vm"] for m in json.loads(status.stdout)["members"]} == set(fleet.vms)
     assert "orders-db-a" in run("status", "show", admin).stdout
     assert "second" in run("team", "list", admin).stdout
     assert key not in run("fleet", "show", admin).stdout
 
-    refused = run("key", "withdraw", "kilima", "third", admin)
-    assert refused.returncode == 1
-    assert "known: first, second" in refused.stderr
+    rejected = run("key", "withdraw", "kilima", "third", admin)
+    assert rejected.returncode == 1
+    assert "known: first, second" in rejected.stderr
     assert run("team", "list", admin, secret="x" * 16).returncode == 1
     assert run("vm", "drain", admin, secret="").returncode == 2
 
     fleet.kill("vm-3")
-    late = run("template", "put", "small", "--rate_per_s=5", admin)
-    assert late.returncode == 3
-    assert "vm-3" in late.stderr
+    unconfirmed = run("template", "put", "small", "--rate_per_s=5", admin)
+    assert unconfirmed.returncode == 3
+    assert "vm-3" in unconfirmed.stderr
 
 
-def test_load_and_burn_report(world, tmp_path):
+def test_load_and_burn_rate_report(world, tmp_path):
     world.start()
     plan = {
         "addresses": [f"{LOOPBACK}:{port}" for port in world.ports],
@@ -73,9 +73,9 @@
     }
     path = tmp_path / "plan.json"
     path.write_text(json.dumps(plan))
-    loaded = run("load", str(path), "--json")
-    assert loaded.returncode == 0, loaded.stderr
-    result = json.loads(loaded.stdout)
+    load_run = run("load", str(path), "--json")
+    assert load_run.returncode == 0, load_run.stderr
+    result = json.loads(load_run.stdout)
     assert result["worst_served_share"] == 1.0
     assert result["teams"][0]["sent"] > 20
     page = tmp_path / "burn.html"
@@ -99,8 +99,8 @@
     fleet = world.start(vm_domains=("dar-kariakoo",), trace=str(trace))
     primary = fleet.primary(SERVICE)
     fleet.kill(primary)
-    answer = world.caller().write("INSERT INTO entry VALUES ('after')")
-    assert answer.ok, answer
+    response = world.caller().write("INSERT INTO entry VALUES ('after')")
+    assert response.ok, response
     successor = fleet.primary(SERVICE)
     assert fleet.terminate("vm-1") == 0
     outcome = {"type": "outcome", "group": SERVICE, "promoted": [primary, successor]}
@@ -111,11 +111,11 @@
     assert "without a difference" in replayed.stdout
 
 
-def test_daemon_lists_mistakes_and_ends_with_status_2(tmp_path):
+def test_daemon_lists_invalid_settings_and_exits_with_status_2(tmp_path):
     path = tmp_path / "vm.jsonc"
     path.write_text('{"vm": "UPPER", // a comment\n "nonsense": 1}')
-    for verb in ("check", "run"):
-        result = run(verb, f"--config={path}", module="guavabarrow_daemon.main")
+    for command in ("check", "run"):
+        result = run(command, f"--config={path}", module="guavabarrow_daemon.main")
         assert result.returncode == 2
         assert "nonsense: is not a known name" in result.stderr
         assert "callers: is missing; add it" in result.stderr
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Proofs of the fleet on real processes."""
+"""Tests of the fleet guarantees on real processes."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 scenarios("features/fleet.feature")
 
-IN_FORCE_S = 4.0
-OUT = DOMAINS[0]
+PROPAGATION_LIMIT_S = 4.0
+DRAINED_DOMAIN = DOMAINS[0]
 
 
 @given(parsers.re(r"a fleet of (?P<count>\d) VMs$"))
@@ -43,12 +43,12 @@
 )
 def _(world, count, rate, burst):
     team = LayoutTeam("pwani", (SERVICE,), rate_per_s=rate, burst=burst)
-    world.facts["team"] = team
+    world.state["team"] = team
     world.start(vm_domains=DOMAINS * (count // 3), teams=(KILIMA, MTO, team))
 
 
 @given("a workload at all VMs")
-@given("a workload at all VMs that follows refusals to other VMs")
+@given("a workload at all VMs whose sessions switch VMs")
 def _(world):
     world.start_workload()
     world.wait_acknowledged(20)
@@ -58,7 +58,9 @@
 def _(world):
     fleet = world.fleet
     ports = [
-        fleet.port_by_name[vm] for vm in fleet.vms if fleet.domain_by_node[vm] != OUT
+        fleet.port_by_name[vm]
+        for vm in fleet.vms
+        if fleet.domain_by_node[vm] != DRAINED_DOMAIN
     ]
     world.start_workload(ports=ports)
     world.wait_acknowledged(20)
@@ -77,29 +79,29 @@
     admin.change([GiveKey("kilima", "second", hash_key(second))], author="test")
     caller = world.caller()
     transaction = caller.begin()
-    assert caller.execute(transaction, "INSERT INTO entry VALUES ('cut')").ok
+    assert caller.execute(transaction, "INSERT INTO entry VALUES ('uncommitted')").ok
     report = admin.change([WithdrawKey("kilima", "first")], author="test")
-    world.facts.update(
+    world.state.update(
         caller=caller, transaction=transaction, second=second, report=report
     )
 
 
-@then("within 4 s every VM refuses the key and the transaction left no row")
+@then("within 4 s every VM rejects the key and the transaction left no row")
 def _(world):
-    report = world.facts["report"]
+    report = world.state["report"]
     assert report.missing == []
-    assert report.seconds <= IN_FORCE_S
-    caller = world.facts["caller"]
-    answer = caller.execute(world.facts["transaction"], "SELECT 1")
-    assert (answer.status, answer.body["ran"]) == (401, "not_run")
-    for position in range(len(world.ports)):
-        caller.move(position)
+    assert report.seconds <= PROPAGATION_LIMIT_S
+    caller = world.state["caller"]
+    response = caller.execute(world.state["transaction"], "SELECT 1")
+    assert (response.status, response.body["ran"]) == (401, "not_run")
+    for vm_index in range(len(world.ports)):
+        caller.switch_vm(vm_index)
         assert caller.read("SELECT 1").status == 401
 
 
 @then("the other key of the team still works")
 def _(world):
-    caller = Caller(world.ports, world.facts["second"])
+    caller = Caller(world.ports, world.state["second"])
     assert wait_until(
         lambda: caller.read("SELECT row FROM entry").body.get("rows") == [],
         "the transaction is rolled back",
@@ -114,24 +116,24 @@
     return PutTemplate(Template(name, rate_per_s=7.0))
 
 
-@when("the answer of the store is lost while a change is made")
+@when("the response of the store to a change is lost")
 def _(world):
-    world.facts["before"] = world.fleet.status("vm-1").version
+    world.state["version_before"] = world.fleet.status("vm-1").version
     world.fleet.set_platform_faults(lost_answers=2)
-    world.facts["report"] = world.fleet.admin("vm-1").change(
+    world.state["report"] = world.fleet.admin("vm-1").change(
         [_template("new")], author="test", operation_id="lost"
     )
 
 
-@then("the change is accepted once and in force at every VM")
+@then("the change is accepted once and applied at every VM")
 def _(world):
-    report = world.facts["report"]
-    assert report.version == world.facts["before"] + 1
+    report = world.state["report"]
+    assert report.version == world.state["version_before"] + 1
     assert report.missing == []
-    again = world.fleet.admin("vm-2").change(
+    retried = world.fleet.admin("vm-2").change(
         [_template("new")], author="test", operation_id="lost"
     )
-    assert again.version == report.version
+    assert retried.version == report.version
     for vm in world.fleet.vms:
         fleet = world.fleet.admin(vm).fleet()
         assert fleet.version == report.version
@@ -159,25 +161,27 @@
         thread.start()
     for thread in threads:
         thread.join()
-    world.facts.update(outcomes=outcomes, base=base)
+    world.state.update(outcomes=outcomes, base=base)
 
 
-@then("one change is accepted, the other gets a conflict and can be repeated")
+@then("one change is accepted, the other gets a conflict and can be retried")
 def _(world):
-    outcomes = world.facts["outcomes"]
-    refused = {n: o for n, o in outcomes.items() if isinstance(o, AdminRequestFailed)}
-    assert [error.code for error in refused.values()] == ["conflict"]
-    (loser,) = refused
+    outcomes = world.state["outcomes"]
+    rejected = {n: o for n, o in outcomes.items() if isinstance(o, AdminRequestFailed)}
+    assert [error.code for error in rejected.values()] == ["conflict"]
+    (rejected_name,) = rejected
     world.fleet.admin("vm-3").change(
-        [_template(loser)], author=loser, base_version=world.facts["base"] + 1
+        [_template(rejected_name)],
+        author=rejected_name,
+        base_version=world.state["base"] + 1,
     )
     for vm in world.fleet.vms:
         fleet = world.fleet.admin(vm).fleet()
-        assert fleet.version == world.facts["base"] + 2
+        assert fleet.version == world.state["base"] + 2
         assert {"amina", "baraka"} <= set(fleet.templates)
 
 
-@when("the store goes down and vm-1 is killed and started again")
+@when("the store goes down and vm-1 is killed and restarted")
 def _(world):
     world.fleet.admin("vm-2").change([_template("new")], author="test")
     world.fleet.set_platform_faults(down=True)
@@ -197,35 +201,35 @@
 
 @when("the store goes down and an operator makes a change")
 def _(world):
-    world.facts["before"] = world.fleet.status("vm-1").version
+    world.state["version_before"] = world.fleet.status("vm-1").version
     world.fleet.set_platform_faults(down=True)
-    with pytest.raises(AdminRequestFailed) as refusal:
+    with pytest.raises(AdminRequestFailed) as error_info:
         world.fleet.admin("vm-1").change(
             [_template("new")], author="test", operation_id="later"
         )
-    world.facts["refusal"] = refusal.value
+    world.state["error"] = error_info.value
 
 
-@then("the change is refused, the version stays and a repeat is accepted later")
+@then("the change is rejected, the version is kept and a retry is accepted later")
 def _(world):
-    assert world.facts["refusal"].code == "not_accepted"
+    assert world.state["error"].code == "not_accepted"
     versions = {world.fleet.status(vm).version for vm in world.fleet.vms}
-    assert versions == {world.facts["before"]}
+    assert versions == {world.state["version_before"]}
     world.fleet.set_platform_faults(down=False)
     report = world.fleet.admin("vm-1").change(
         [_template("new")], author="test", operation_id="later"
     )
-    assert report.version == world.facts["before"] + 1
+    assert report.version == world.state["version_before"] + 1
     assert report.missing == []
 
 
 # Rates ----------------------------------------------------------------------
 
 
-def _send(world, *, rate, duration_s, ports, during=None):
-    """Send at a rate from one thread for each VM; record what was admitted."""
-    team = world.facts["team"]
-    admitted, refused = [], []
+def _send_requests(world, *, rate, duration_s, ports, action=None):
+    """Send at a rate (requests/s) from one thread per VM; record the results."""
+    team = world.state["team"]
+    admitted, rejected = [], []
     end_at = time.monotonic() + duration_s
 
     def run(port):
@@ -236,26 +240,26 @@
             time.sleep(max(0.0, due_at - time.monotonic()))
             due_at += interval_s
             sent_at = time.monotonic()
-            answer = caller.read("SELECT 1")
-            if answer.ok:
+            response = caller.read("SELECT 1")
+            if response.ok:
                 admitted.append((sent_at, time.monotonic()))
-            elif answer.status:
-                refused.append(answer)
+            elif response.status:
+                rejected.append(response)
 
     threads = [threading.Thread(target=run, args=(port,)) for port in ports]
     for thread in threads:
         thread.start()
-    if during is not None:
-        during()
+    if action is not None:
+        action()
     for thread in threads:
         thread.join()
-    world.facts.update(admitted=admitted, refused=refused, duration_s=duration_s)
+    world.state.update(admitted=admitted, rejected=rejected, duration_s=duration_s)
 
 
 @when(parsers.parse("the team sends 5 times its rate at all VMs for {duration:d} s"))
 def _(world, duration):
-    rate = world.facts["team"].rate_per_s * 5
-    _send(world, rate=rate, duration_s=float(duration), ports=world.ports)
+    rate = world.state["team"].rate_per_s * 5
+    _send_requests(world, rate=rate, duration_s=float(duration), ports=world.ports)
 
 
 @when("the team sends 5 times its rate and the ledger holder of a domain is killed")
@@ -264,8 +268,10 @@
         time.sleep(1.0)
         world.fleet.kill(world.fleet.holder(DOMAINS[0]))
 
-    rate = world.facts["team"].rate_per_s * 5
-    _send(world, rate=rate, duration_s=7.0, ports=world.ports, during=kill_holder)
+    rate = world.state["team"].rate_per_s * 5
+    _send_requests(
+        world, rate=rate, duration_s=7.0, ports=world.ports, action=kill_holder
+    )
 
 
 @when(
@@ -280,81 +286,87 @@
         other = next(vm for vm in world.fleet.vms if vm != holder)
         wait_until(
             lambda: world.fleet.holder(DOMAINS[0], other) != holder,
-            "another VM holds the ledger",
+            "another VM is ledger holder",
         )
         time.sleep(1.5)
         world.fleet.resume(holder)
 
-    rate = world.facts["team"].rate_per_s * 5
-    _send(world, rate=rate, duration_s=9.0, ports=world.ports, during=freeze_holder)
+    rate = world.state["team"].rate_per_s * 5
+    _send_requests(
+        world, rate=rate, duration_s=9.0, ports=world.ports, action=freeze_holder
+    )
 
 
 @when("the store is down for 4 s while the team sends 5 times its rate")
 def _(world):
-    def take_down():
+    def stop_store():
         time.sleep(0.5)
         world.fleet.set_platform_faults(down=True)
         time.sleep(4.0)
         world.fleet.set_platform_faults(down=False)
 
-    rate = world.facts["team"].rate_per_s * 5
-    _send(world, rate=rate, duration_s=6.0, ports=world.ports, during=take_down)
+    rate = world.state["team"].rate_per_s * 5
+    _send_requests(
+        world, rate=rate, duration_s=6.0, ports=world.ports, action=stop_store
+    )
 
 
 @when("the team sends 80% of its rate at one VM for 4 s")
 def _(world):
-    rate = world.facts["team"].rate_per_s * 0.8
-    _send(world, rate=rate, duration_s=4.0, ports=world.ports[:1])
+    rate = world.state["team"].rate_per_s * 0.8
+    _send_requests(world, rate=rate, duration_s=4.0, ports=world.ports[:1])
 
 
-@then("no window holds more than rate and burst allow")
+@then("no window exceeds rate and burst")
 def _(world):
-    team = world.facts["team"]
-    assert world.facts["refused"]
+    team = world.state["team"]
+    assert world.state["rejected"]
     violations = check_rate(
-        world.facts["admitted"], rate_per_s=team.rate_per_s, burst=team.burst
+        world.state["admitted"], rate_per_s=team.rate_per_s, burst=team.burst
     )
     assert violations == []
 
 
 @then(parsers.parse("at least {share:d}% of the rate was used"))
 def _(world, share):
-    allowed = world.facts["team"].rate_per_s * world.facts["duration_s"]
-    assert len(world.facts["admitted"]) >= allowed * share / 100
+    allowed = world.state["team"].rate_per_s * world.state["duration_s"]
+    assert len(world.state["admitted"]) >= allowed * share / 100
 
 
-@then("nothing was refused")
+@then("no request was rejected")
 def _(world):
-    assert world.facts["refused"] == []
+    assert world.state["rejected"] == []
 
 
 # Drain ----------------------------------------------------------------------
 
 
-@when("the domain is taken out and 4 s pass")
+@when("the domain is taken out of service and 4 s pass")
 def _(world):
     state = DomainState.OUT_OF_SERVICE
     report = world.fleet.admin("vm-2").change(
-        [SetDomainState(OUT, state)], author="test"
+        [SetDomainState(DRAINED_DOMAIN, state)], author="test"
     )
     assert report.missing == []
-    time.sleep(IN_FORCE_S)
+    time.sleep(PROPAGATION_LIMIT_S)
 
 
 def _domain_vms(world):
-    return [vm for vm in world.fleet.vms if world.fleet.domain_by_node[vm] == OUT]
+    return [
+        vm for vm in world.fleet.vms if world.fleet.domain_by_node[vm] == DRAINED_DOMAIN
+    ]
 
 
-@then("its VMs are not ready and refuse new work as not run")
+@then("its VMs are not ready and reject new work as not run")
 def _(world):
     for vm in _domain_vms(world):
         port = world.fleet.port_by_name[vm]
         assert request(port, "GET", "/readyz")[0] == 503
-        answer = Caller([port], KILIMA.key).write("INSERT INTO entry VALUES ('no')")
-        assert (answer.body["code"], answer.body["ran"]) == ("draining", "not_run")
+        response = Caller([port], KILIMA.key).write("INSERT INTO entry VALUES ('no')")
+        assert (response.body["code"], response.body["ran"]) == ("draining", "not_run")
 
 
-def _statements(world, databases):
+def _count_statements(world, databases):
     total = 0
     for database in databases:
         recorded = post(world.fleet.port_by_name[database], "/recorded", {})
@@ -367,26 +379,28 @@
     databases = [
         name
         for name in world.fleet.databases
-        if world.fleet.domain_by_node[name] == OUT
+        if world.fleet.domain_by_node[name] == DRAINED_DOMAIN
     ]
-    before = _statements(world, databases)
+    before = _count_statements(world, databases)
     assert before > 0
     world.wait_acknowledged(20)
-    assert _statements(world, databases) == before
+    assert _count_statements(world, databases) == before
 
 
-@then("no caller of the other domains was refused")
-@then("no caller was refused")
+@then("no request in the other domains was rejected")
+@then("no request was rejected")
 def _(world):
     workload = world.end_workload()
     assert workload.failures == []
     assert workload.history.check(world.rows()) == []
 
 
-@when("the domain is brought back")
+@when("the domain is put back into service")
 def _(world):
     state = DomainState.IN_SERVICE
-    world.fleet.admin("vm-2").change([SetDomainState(OUT, state)], author="test")
+    world.fleet.admin("vm-2").change(
+        [SetDomainState(DRAINED_DOMAIN, state)], author="test"
+    )
 
 
 @then("its VMs serve again")
@@ -400,97 +414,97 @@
 @when("the primary is marked as leaving and 4 s pass")
 def _(world):
     primary = world.fleet.primary(SERVICE)
-    world.facts["leaving"] = primary
+    world.state["leaving"] = primary
     change = SetTargetState(SERVICE, primary, TargetState.LEAVING)
     assert world.fleet.admin("vm-2").change([change], author="test").missing == []
-    time.sleep(IN_FORCE_S)
+    time.sleep(PROPAGATION_LIMIT_S)
 
 
 @then("it gets no statement while 20 more writes are acknowledged")
 def _(world):
-    databases = [world.facts["leaving"]]
-    before = _statements(world, databases)
+    databases = [world.state["leaving"]]
+    before = _count_statements(world, databases)
     assert before > 0
     world.wait_acknowledged(20)
-    assert _statements(world, databases) == before
+    assert _count_statements(world, databases) == before
 
 
 @when("vm-1 gets SIGTERM")
 def _(world):
-    world.facts["status"] = world.fleet.terminate("vm-1")
+    world.state["status"] = world.fleet.terminate("vm-1")
 
 
-@then("it ends with status 0 and no request was cut")
+@then("it exits with status 0 and no request was aborted")
 def _(world):
-    assert world.facts["status"] == 0
+    assert world.state["status"] == 0
     workload = world.end_workload()
-    cut = [w for w in workload.history.writes if w.ran.value == "outcome_unknown"]
-    assert cut == []
-    assert {answer.body["code"] for answer in workload.failures} <= {"draining"}
+    aborted = [w for w in workload.history.writes if w.ran.value == "outcome_unknown"]
+    assert aborted == []
+    assert {response.body["code"] for response in workload.failures} <= {"draining"}
     assert workload.history.check(world.rows()) == []
 
 
 # Partitions -----------------------------------------------------------------
 
 
-@when("a domain without a primary is cut off from the others and the platform")
+@when("a domain without a primary is partitioned from the others and the platform")
 def _(world):
     primary = world.fleet.primary(SERVICE)
     domain = next(d for d in DOMAINS if d != world.fleet.domain_by_node[primary])
     nodes = [n for n, d in world.fleet.domain_by_node.items() if d == domain]
-    world.facts.update(domain=domain, nodes=nodes)
+    world.state.update(domain=domain, nodes=nodes)
     assert world.caller().write("INSERT INTO entry VALUES ('before')").ok
-    world.fleet.cut_off(*nodes)
+    world.fleet.isolate(*nodes)
 
 
-def _inside(world):
+def _isolated_callers(world):
     return [
         Caller([world.fleet.port_by_name[n]], KILIMA.key, deadline_s=3.0)
-        for n in world.facts["nodes"]
+        for n in world.state["nodes"]
         if n.startswith("vm-")
     ]
 
 
-@when("the ledger holder of the cut-off domain is killed")
+@when("the ledger holder of the isolated domain is killed")
 def _(world):
-    inside = next(n for n in world.facts["nodes"] if n.startswith("vm-"))
-    holder = world.fleet.holder(world.facts["domain"], inside)
-    world.facts["nodes"].remove(holder)
+    observer = next(n for n in world.state["nodes"] if n.startswith("vm-"))
+    holder = world.fleet.holder(world.state["domain"], observer)
+    world.state["nodes"].remove(holder)
     world.fleet.kill(holder)
-    survivor = next(n for n in world.facts["nodes"] if n.startswith("vm-"))
+    survivor = next(n for n in world.state["nodes"] if n.startswith("vm-"))
     wait_until(
         lambda: world.fleet.status(survivor).is_ledger_holder,
-        f"{survivor} holds the ledger",
+        f"{survivor} is ledger holder",
     )
 
 
 @then(
     parsers.parse(
-        "its VMs still serve reads of a stated age of {age:d} s from its database"
+        "its VMs still serve reads with a maximum age of {age:d} s from its database"
     )
 )
 def _(world, age):
-    for caller in _inside(world):
-        answer = caller.read("SELECT row FROM entry", max_age_ms=age * 1000)
-        assert answer.ok, answer
-        assert answer.body["source"] == "replica"
+    for caller in _isolated_callers(world):
+        response = caller.read("SELECT row FROM entry", max_age_ms=age * 1000)
+        assert response.ok, response
+        assert response.body["source"] == "replica"
 
 
-@then("its VMs refuse writes as not run")
+@then("its VMs reject writes as not run")
 def _(world):
-    for caller in _inside(world):
-        answer = caller.write("INSERT INTO entry VALUES ('inside')")
-        assert answer.body["ran"] == "not_run", answer
+    for caller in _isolated_callers(world):
+        response = caller.write("INSERT INTO entry VALUES ('inside')")
+        assert response.body["ran"] == "not_run", response
 
 
 @then("the other domains acknowledge writes")
 def _(world):
-    outside = [vm for vm in world.fleet.vms if vm not in world.facts["nodes"]]
-    for vm in outside:
+    other_vms = [vm for vm in world.fleet.vms if vm not in world.state["nodes"]]
+    for vm in other_vms:
         caller = Caller([world.fleet.port_by_name[vm]], KILIMA.key)
         assert caller.write("INSERT INTO entry VALUES (?)", vm).ok
-    world.fleet.cut_off(*world.facts["nodes"], cut=False)
-    assert sorted(world.rows()) == sorted(["before", *outside])
+    world.fleet.isolate(*world.state["nodes"], isolated=False)
+    assert sorted(world.rows()) == sorted(["before", *other_vms])
 
 
 @when("vm-1 is frozen for 4 s and resumes")
@@ -498,11 +512,11 @@
     world.fleet.freeze("vm-1")
     time.sleep(4.0)
     world.fleet.resume("vm-1")
-    wait_until(lambda: world.fleet.status("vm-1"), "vm-1 answers")
+    wait_until(lambda: world.fleet.status("vm-1"), "vm-1 responds")
     time.sleep(1.0)
 
 
-@then("vm-1 never judged another VM dead")
+@then("vm-1 never marked another VM as dead")
 def _(world):
     log = (world.directory / "vm-1.log").read_text()
     events = [json.loads(line) for line in log.splitlines() if line.startswith("{")]
@@ -510,7 +524,7 @@
     assert lost == []
 
 
-# Replacement and scarce connections -----------------------------------------
+# Restarts and connection limits ----------------------------------------------
 
 
 @when("vm-1 gets SIGTERM while a caller has a transaction open")
@@ -524,19 +538,19 @@
     wait_until(lambda: request(port, "GET", "/readyz")[0] == 503, "not ready")
     time.sleep(1.0)
     caller.close()
-    world.facts["commit"] = caller.commit(transaction)
-    world.facts["status"] = process.wait(timeout=30)
+    world.state["commit"] = caller.commit(transaction)
+    world.state["status"] = process.wait(timeout=30)
     del world.fleet.process_by_name["vm-1"]
 
 
-@then("the transaction can be committed and vm-1 ends with status 0")
+@then("the transaction can be committed and vm-1 exits with status 0")
 def _(world):
-    assert world.facts["commit"].ok, world.facts["commit"]
-    assert world.facts["status"] == 0
+    assert world.state["commit"].ok, world.state["commit"]
+    assert world.state["status"] == 0
     assert world.rows() == ["kept"]
 
 
-@when("each VM is killed and started again in turn")
+@when("each VM is killed and restarted in turn")
 def _(world):
     for vm in world.fleet.vms:
         world.fleet.kill(vm)
@@ -553,7 +567,7 @@
     assert workload.history.check(world.rows()) == []
 
 
-@given("a fleet of 3 VMs before databases with 6 connections")
+@given("a fleet of 3 VMs and databases with 6 connections")
 def _(world):
     world.start(connections=6)
 
@@ -563,7 +577,7 @@
     world.wait_acknowledged(100)
 
 
-@then("no database had more than 6 connections and no caller was refused")
+@then("no database had more than 6 connections and no request was rejected")
 def _(world):
     workload = world.end_workload()
     for database in world.fleet.databases:
