--- a/tests/mutations/__main__.py
+++ b/tests/mutations/__main__.py
@@ -1,6 +1,7 @@
-"""Applies each edit to a copy of the core and reports those that no test notices.
+"""Applies each mutation to a copy of the core and reports the surviving ones.
 
-Run ``make mutations``; it is not part of CI.
+A mutation survives if its test still passes. Run ``make mutations``; it is not part
+of CI.
 """
 
 from __future__ import annotations
@@ -18,14 +19,16 @@
 
 
 def survives(mutation: Mutation) -> bool:
-    """Tell whether the test stays green under an edit."""
+    """Return whether the test still passes with the mutation."""
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder) / "core"
         shutil.copytree(CORE, copy, ignore=shutil.ignore_patterns("__pycache__"))
         module = copy / "src" / "guavabarrow_core" / f"{mutation.module}.py"
         source = module.read_text()
         if source.count(mutation.old) != 1:
-            raise SystemExit(f"{mutation.module}: not found once: {mutation.old!r}")
+            raise SystemExit(
+                f"{mutation.module}: {mutation.old!r} does not occur exactly once"
+            )
         module.write_text(source.replace(mutation.old, mutation.new))
         paths = os.pathsep.join([str(copy / "src"), str(copy / "tests")])
         result = subprocess.run(
@@ -51,14 +54,14 @@
 
 
 def main() -> None:
-    """Try all edits; exit with 1 if one is not noticed."""
+    """Test all mutations; exit with 1 if one survives."""
     survivors = 0
     for mutation in MUTATIONS:
-        is_survivor = survives(mutation)
-        survivors += is_survivor
-        verdict = "NOT NOTICED" if is_survivor else "noticed"
-        print(f"{verdict}: {mutation.module}: {mutation.new}", flush=True)
-    print(f"{len(MUTATIONS) - survivors} noticed, {survivors} not noticed")
+        has_survived = survives(mutation)
+        survivors += has_survived
+        outcome = "SURVIVED" if has_survived else "killed"
+        print(f"{outcome}: {mutation.module}: {mutation.new}", flush=True)
+    print(f"{len(MUTATIONS) - survivors} killed, {survivors} survived")
     sys.exit(1 if survivors else 0)
 
 
