--- a/tests/features/fleet.feature
+++ b/tests/features/fleet.feature
@@ -51,7 +51,7 @@
   Scenario: A team whose callers use a single VM gets its full rate there
     Given a fleet of 6 VMs with a team of rate 60 and burst 30
     When the team sends 80% of its rate at one VM for 4 s
-    Then no request was rejected
+    Then no request of the team was rejected
 
   Scenario: A failure domain that is taken out of service gets no new work and no request is aborted
     Given a fleet of 6 VMs
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -333,7 +333,7 @@
     assert len(world.state["admitted"]) >= allowed * share / 100
 
 
-@then("no request was rejected")
+@then("no request of the team was rejected")
 def _(world):
     assert world.state["rejected"] == []
 
