--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -1,6 +1,6 @@
-"""Distribution of the failover gap over kills of the primary, on real processes.
+"""Measures the failover gap over repeated kills of the primary, on real processes.
 
-Callers write all the time; the gap is the time from SIGKILL of the primary to the
+Callers write continuously; the gap is the time from SIGKILL of the primary to the
 first write that was sent after it and acknowledged. Prints one JSON document.
 
 Usage: python benchmarks/failover.py [KILLS] [POLICY]
@@ -21,7 +21,7 @@
 from harness.process_fleet import ProcessFleet, wait_until
 
 from guavabarrow_cli.embedded_fleet import Layout, LayoutService, LayoutTeam
-from guavabarrow_core.exceptions import Ran
+from guavabarrow_core.exceptions import ExecutionStatus
 
 SERVICE = "orders-db"
 DOMAINS = ("tanta-hall", "mahalla-depot", "kafr-station")
@@ -60,12 +60,13 @@
             ports = [fleet.port_by_name[vm] for vm in fleet.vms]
             setup = Caller(ports, TEAM.key)
             assert setup.write("CREATE TABLE entry (row TEXT)").ok
-            with Workload(ports, TEAM.key, size=4, pause_s=0.02) as workload:
+            with Workload(ports, TEAM.key, session_count=4, pause_s=0.02) as workload:
                 for _ in range(kills):
                     gaps.append(measure_gap(fleet, workload))
             violations = workload.history.check(workload.final_rows(setup))
             unknown = sum(
-                write.ran is Ran.OUTCOME_UNKNOWN for write in workload.history.writes
+                write.ran is ExecutionStatus.OUTCOME_UNKNOWN
+                for write in workload.history.writes
             )
             document = {
                 "detection": detection,
@@ -85,27 +86,30 @@
 
 
 def measure_gap(fleet: ProcessFleet, workload: Workload) -> float:
-    """Kill the primary, wait for an acknowledged write, and restart it."""
+    """Kill the primary, wait for an acknowledged write, and restart it.
+
+    Returns the failover gap, seconds.
+    """
     primary = fleet.primary(SERVICE)
     killed_at = time.monotonic()
     fleet.kill(primary)
 
-    def first_after() -> float | None:
+    def first_acknowledgement() -> float | None:
         times = [
             write.answered_at
             for write in workload.history.writes[-50:]
-            if write.ran is Ran.RAN and write.sent_at >= killed_at
+            if write.ran is ExecutionStatus.RAN and write.sent_at >= killed_at
         ]
         return min(times, default=None)
 
-    acknowledged_at = wait_until(first_after, "a write is acknowledged")
+    acknowledged_at = wait_until(first_acknowledgement, "a write is acknowledged")
     fleet.restart(primary)
     wait_until(
         lambda: all(
             target.age_s is not None and target.age_s < 1.0
             for target in fleet.group(fleet.vms[0], SERVICE).targets
         ),
-        "all databases follow",
+        "all databases are up to date",
     )
     return acknowledged_at - killed_at
 
--- a/packages/guavabarrow-core/src/guavabarrow_core/exceptions.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/exceptions.py
@@ -1,7 +1,7 @@
-"""Typed failures shared by all parts.
+"""Exceptions shared by all packages.
 
-Every failure that reaches a caller is a :class:`Refusal`: it names a stable code,
-an HTTP status and whether the request ran.
+Every error that reaches a caller over HTTP is a :class:`RequestError`, which has a
+stable code, an HTTP status and the execution status of the request.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
     from guavabarrow_core.session_messages import FailureCode
 
 
-class Ran(Enum):
-    """Whether a request had an effect."""
+class ExecutionStatus(Enum):
+    """Whether a request was executed."""
 
     NOT_RUN = "not_run"
     OUTCOME_UNKNOWN = "outcome_unknown"
@@ -22,7 +22,7 @@
 
 
 class GuavabarrowError(Exception):
-    """Base class of all failures raised by guavabarrow."""
+    """Base class of all exceptions raised by guavabarrow."""
 
 
 class TokenError(GuavabarrowError):
@@ -39,7 +39,7 @@
     Parameters
     ----------
     expected : int
-        Version the change was based on.
+        Version that the change was based on.
     actual : int
         Version found at the head of the chain.
     """
@@ -53,15 +53,15 @@
         self.actual = actual
 
 
-class Refusal(GuavabarrowError):
-    """A request that got no result.
+class RequestError(GuavabarrowError):
+    """A failed request.
 
     Parameters
     ----------
     detail : str
         What happened and what the caller can do about it.
     retry_after_s : float or None
-        Seconds after which a repeat may succeed.
+        Seconds after which a retry may succeed.
 
     Attributes
     ----------
@@ -69,13 +69,13 @@
         Stable machine-readable name.
     status : int
         HTTP status code.
-    ran : Ran
-        Whether the request had an effect.
+    ran : ExecutionStatus
+        Whether the request was executed.
     """
 
     code = "internal"
     status = 500
-    ran = Ran.NOT_RUN
+    ran = ExecutionStatus.NOT_RUN
 
     def __init__(self, detail: str, *, retry_after_s: float | None = None) -> None:
         super().__init__(detail)
@@ -83,165 +83,165 @@
         self.retry_after_s = retry_after_s
 
 
-class BadRequest(Refusal):
+class BadRequest(RequestError):
     """The request is malformed."""
 
     code = "bad_request"
     status = 400
 
 
-class BodyTooLarge(Refusal):
+class BodyTooLarge(RequestError):
     """The body exceeds the configured limit."""
 
     code = "body_too_large"
     status = 413
 
 
-class RequestIdRequired(Refusal):
-    """A non-idempotent write came without a request id."""
+class RequestIdRequired(RequestError):
+    """A non-idempotent write has no request id."""
 
     code = "request_id_required"
     status = 400
 
 
-class RequestIdExpired(Refusal):
+class RequestIdExpired(RequestError):
     """The request id lies outside of the retention window of outcomes."""
 
     code = "request_id_expired"
     status = 400
 
 
-class RequestIdReused(Refusal):
-    """The request id was used before with another body."""
+class RequestIdReused(RequestError):
+    """The request id was already used with a different body."""
 
     code = "request_id_reused"
     status = 409
 
 
-class BadToken(Refusal):
+class BadToken(RequestError):
     """The session token cannot be used."""
 
     code = "bad_session_token"
     status = 400
 
 
-class KeyInStatement(Refusal):
-    """The body contains the caller's key, which targets must never see."""
+class KeyInStatement(RequestError):
+    """The body contains the caller's key, which must never be sent to targets."""
 
     code = "key_in_statement"
     status = 400
 
 
-class Unauthenticated(Refusal):
-    """The key is missing, unknown or withdrawn."""
+class Unauthenticated(RequestError):
+    """The key is missing, unknown or revoked."""
 
     code = "unauthenticated"
     status = 401
 
 
-class ServiceNotAllowed(Refusal):
-    """The team does not reach the named service."""
+class ServiceNotAllowed(RequestError):
+    """The team may not use the named service."""
 
     code = "service_not_allowed"
     status = 403
 
 
-class UnknownRoute(Refusal):
+class UnknownRoute(RequestError):
     """No resource has this path."""
 
     code = "unknown_route"
     status = 404
 
 
-class UnknownTransaction(Refusal):
-    """The transaction has ended, expired or was opened at another VM."""
+class UnknownTransaction(RequestError):
+    """The transaction has ended, has expired or was opened on another VM."""
 
     code = "unknown_transaction"
     status = 404
 
 
-class StatementFailed(Refusal):
+class StatementFailed(RequestError):
     """The database rejected the statement; it had no effect."""
 
     code = "statement_failed"
     status = 422
 
 
-class RateExceeded(Refusal):
-    """The team is above its rate and burst."""
+class RateExceeded(RequestError):
+    """The team exceeds its rate and burst."""
 
     code = "rate_exceeded"
     status = 429
 
 
-class Draining(Refusal):
-    """This VM or its failure domain takes no new work."""
+class Draining(RequestError):
+    """This VM or its failure domain accepts no new work."""
 
     code = "draining"
     status = 503
 
 
-class NoConfiguration(Refusal):
-    """This VM holds no configuration yet."""
+class NoConfiguration(RequestError):
+    """This VM has no configuration yet."""
 
     code = "no_configuration"
     status = 503
 
 
-class Overloaded(Refusal):
+class Overloaded(RequestError):
     """The queue in front of the database is full or the deadline cannot be met."""
 
     code = "overloaded"
     status = 503
 
 
-class DeadlineExceeded(Refusal):
+class DeadlineExceeded(RequestError):
     """The deadline passed before the request was sent to a database."""
 
     code = "deadline_exceeded"
     status = 504
 
 
-class NoPrimary(Refusal):
+class NoPrimary(RequestError):
     """The database group has no primary that this VM can use."""
 
     code = "no_primary"
     status = 503
 
 
-class NoReplicaFresh(Refusal):
-    """No reachable database satisfies the session token or the stated age."""
+class NoFreshDatabase(RequestError):
+    """No reachable database satisfies the session token or the maximum age."""
 
     code = "no_database_fresh_enough"
     status = 503
 
 
-class OutcomeUnknown(Refusal):
-    """The request may have run; repeat it with the same request id to learn."""
+class OutcomeUnknown(RequestError):
+    """The request may have run; a retry with the same request id resolves this."""
 
     code = "outcome_unknown"
     status = 504
-    ran = Ran.OUTCOME_UNKNOWN
+    ran = ExecutionStatus.OUTCOME_UNKNOWN
 
 
-class TransactionLost(Refusal):
+class TransactionLost(RequestError):
     """The connection of an open transaction broke; the database rolls it back."""
 
     code = "transaction_lost"
     status = 409
 
 
-class SessionFailure(GuavabarrowError):
-    """A statement of a connected session got no result.
+class SessionError(GuavabarrowError):
+    """A failed statement or connection-based session.
 
     Parameters
     ----------
     code : FailureCode
-        What the caller is told.
+        Code that is reported to the caller.
     detail : str
         What happened.
     retry_after_s : float or None
-        Seconds after which a repeat may succeed.
+        Seconds after which a retry may succeed.
     """
 
     def __init__(
--- a/packages/guavabarrow-core/src/guavabarrow_core/promotion.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/promotion.py
@@ -1,8 +1,9 @@
-"""Replacement of one service's primary, ordered by the VM that holds the duty.
+"""Replacement of a service's primary, run by the VM that holds the promotion duty.
 
-The order is: mark the row as moving, wait until no VM uses the old primary, compare
-the replicas, stop the old primary if it can be reached, promote, settle the row.
-Until the promotion is sent it can be taken back.
+The steps are: mark the primary row as moving, wait until no VM uses the old primary,
+compare the replicas, demote the old primary if it is reachable, promote a replica, and
+mark the row as settled. The replacement can be reverted until the promotion is
+requested.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
     from guavabarrow_core.session_messages import TargetStatus
 
 STATUS_INTERVAL_S = 0.03
-"""Pause between two looks at the replicas while a planned move waits for one."""
+"""Interval at which the replicas are polled during a replacement."""
 
-CATCH_UP_S = 1.0
-"""Longest wait of a planned move for its chosen replica."""
+CATCH_UP_TIMEOUT_S = 1.0
+"""Longest time that a planned switchover waits for the chosen replica to catch up."""
 
-CONFIRM_LEAD_S = 2.0
-"""Longest wait until a promoted target says that it leads; twice the longest time
-that a deployment states for a promotion."""
+PROMOTION_TIMEOUT_S = 2.0
+"""Longest wait until a promoted target reports that it is the primary; twice the
+longest promotion time that is specified for a deployment."""
 
 
 class PromotionStage(Enum):
-    """Where a replacement stands."""
+    """Stage of a replacement."""
 
     MARKING = auto()
     STOPPING = auto()
@@ -40,69 +41,72 @@
 
 @dataclass(frozen=True, slots=True)
 class MarkMoving:
-    """Write the row as moving, on condition that it is unchanged."""
+    """Mark the primary row as moving, provided that it is unchanged."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadStatuses:
-    """Ask targets where their logs end."""
+    """Request the role, term and log end of targets."""
 
     target_ids: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class StopPrimary:
-    """Tell the old primary that a newer term begins."""
+class DemotePrimary:
+    """Demote the old primary by announcing a newer term to it."""
 
     target_id: str
     term: int
 
 
 @dataclass(frozen=True, slots=True)
-class OrderPromotion:
-    """Ask the platform to let a target lead."""
+class RequestPromotion:
+    """Request the promotion of a target from the platform."""
 
     target_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
-    """Write the row as settled."""
+class MarkSettled:
+    """Mark the primary row as settled."""
 
     primary_id: str
     term: int
 
 
-PromotionAction = MarkMoving | ReadStatuses | StopPrimary | OrderPromotion | Settle
+PromotionAction = (
+    MarkMoving | ReadStatuses | DemotePrimary | RequestPromotion | MarkSettled
+)
 
 
 @dataclass(slots=True)
 class Promotion:
-    """State machine of one replacement.
+    """State machine that replaces the primary of one service.
 
     Parameters
     ----------
-    service, old_id : str
-        Service and its primary.
+    service, old_primary_id : str
+        Service, and its primary before the replacement.
     term : int
         Term of the old primary.
     is_planned : bool
-        Whether the old primary still works, so that nothing may be lost.
+        Whether this is a switchover from a working primary, which must lose nothing.
     candidates : tuple of str
-        Replicas that may lead, preferred ones first.
+        Replicas that may be promoted, in order of preference.
     is_resumed : bool
-        Whether another VM began it and may have ordered a promotion.
-    is_by_votes : bool
-        Whether other VMs can't use the old primary although this one may reach it.
+        Whether another VM started it and may have requested a promotion.
+    is_failed_by_vote : bool
+        Whether the primary counts as failed because enough other VMs can't use it,
+        although this VM can reach it.
     """
 
     service: str
-    old_id: str
+    old_primary_id: str
     term: int
     is_planned: bool
     candidates: tuple[str, ...]
     is_resumed: bool = False
-    is_by_votes: bool = False
+    is_failed_by_vote: bool = False
     stage: PromotionStage = PromotionStage.MARKING
     chosen_id: str = ""
     started_at: float = 0.0
@@ -114,74 +118,77 @@
     refused_ids: set[str] = field(default_factory=set)
 
     def start(self, now: float) -> list[PromotionAction]:
-        """Begin."""
+        """Start the replacement."""
         self.started_at = now
         return [MarkMoving()]
 
     def on_marked(self) -> None:
-        """Handle the row being marked; the VMs were told."""
+        """Handle the row being marked as moving; the VMs have been notified."""
         self.stage = PromotionStage.STOPPING
 
     def on_stopped(self, now: float) -> list[PromotionAction]:
-        """Handle that no VM uses the old primary any more."""
+        """Handle that no VM uses the old primary any longer."""
         if self.stage is not PromotionStage.STOPPING:
             return []
         self.stage = PromotionStage.COMPARING
         self.compared_at = now
-        return [ReadStatuses(self._asked())]
+        return [ReadStatuses(self._status_targets())]
 
     @property
-    def may_revert(self) -> bool:
-        """Whether the old primary may go on: nothing was ordered yet."""
-        is_early = self.stage is PromotionStage.STOPPING
-        by_choice = self.is_planned or self.is_resumed or self.is_by_votes
-        return is_early and not by_choice
-
-    def on_primary_back(self) -> list[PromotionAction]:
-        """Handle that the old primary can be used again; too late once promoting."""
-        if not self.may_revert:
+    def can_revert(self) -> bool:
+        """Whether the old primary can still be kept: no promotion was requested yet."""
+        nothing_requested = self.stage is PromotionStage.STOPPING
+        must_replace = self.is_planned or self.is_resumed or self.is_failed_by_vote
+        return nothing_requested and not must_replace
+
+    def on_primary_recovered(self) -> list[PromotionAction]:
+        """Handle that the old primary is usable again; ignored once it is too late."""
+        if not self.can_revert:
             return []
         self.stage = PromotionStage.REVERTING
-        return [Settle(self.old_id, self.term)]
+        return [MarkSettled(self.old_primary_id, self.term)]
 
     def on_statuses(
         self, status_by_id: dict[str, TargetStatus], now: float
     ) -> list[PromotionAction]:
-        """Handle where the logs end; targets that didn't answer are missing."""
+        """Handle the targets' statuses; targets that did not answer are missing."""
         if self.stage is not PromotionStage.COMPARING:
             return []
         self.status_by_id.update(status_by_id)
-        leader = self._leader_elsewhere()
-        if leader is not None:
+        promoted = self._promoted_candidate()
+        if promoted is not None:
             self.stage = PromotionStage.SETTLING
-            self.chosen_id = leader
-            return [Settle(leader, self.status_by_id[leader].term)]
-        old = status_by_id.get(self.old_id)
+            self.chosen_id = promoted
+            return [MarkSettled(promoted, self.status_by_id[promoted].term)]
+        old = status_by_id.get(self.old_primary_id)
         if old is not None and old.is_primary:
-            if self._may_keep(old):
+            if self._can_keep_primary(old):
                 self.stage = PromotionStage.REVERTING
-                return [Settle(self.old_id, self.term)]
+                return [MarkSettled(self.old_primary_id, self.term)]
             self.final_position = old.received
         chosen = self._most_advanced()
         waited_s = now - self.compared_at
         if chosen is None:
-            return [ReadStatuses(self._asked())]
-        if not self._is_caught_up(chosen) and waited_s < CATCH_UP_S:
-            return [ReadStatuses(self._asked())]
+            return [ReadStatuses(self._status_targets())]
+        if not self._is_caught_up(chosen) and waited_s < CATCH_UP_TIMEOUT_S:
+            return [ReadStatuses(self._status_targets())]
         self.chosen_id = chosen
         self.stage = PromotionStage.PROMOTING
         next_term = max([self.term, *(s.term for s in self.status_by_id.values())])
-        return [StopPrimary(self.old_id, next_term + 1), OrderPromotion(chosen)]
+        return [
+            DemotePrimary(self.old_primary_id, next_term + 1),
+            RequestPromotion(chosen),
+        ]
 
     def on_promoted(self, term: int) -> list[PromotionAction]:
-        """Handle that the chosen target leads with ``term``."""
+        """Handle that the chosen target is the primary of ``term``."""
         if self.stage is not PromotionStage.PROMOTING:
             return []
         self.stage = PromotionStage.SETTLING
-        return [Settle(self.chosen_id, term)]
+        return [MarkSettled(self.chosen_id, term)]
 
     def on_refused(self, now: float) -> list[PromotionAction]:
-        """Handle that the chosen target doesn't run; look for another one."""
+        """Handle that the chosen target is not running; select another one."""
         if self.stage is not PromotionStage.PROMOTING:
             return []
         self.refused_ids.add(self.chosen_id)
@@ -190,26 +197,27 @@
         self.status_by_id.clear()
         self.stage = PromotionStage.COMPARING
         self.compared_at = now
-        return [ReadStatuses(self._asked())]
+        return [ReadStatuses(self._status_targets())]
 
     def on_settled(self) -> None:
-        """Handle the row being settled."""
+        """Handle the row being marked as settled."""
         self.stage = PromotionStage.DONE
 
-    def _may_keep(self, old: TargetStatus) -> bool:
-        """Tell whether the old primary is back before anything was ordered.
+    def _can_keep_primary(self, old: TargetStatus) -> bool:
+        """Return whether the old primary answers before a promotion was requested.
 
-        A cut between domains that heals lets the last VMs confirm and the old primary
-        answer at the same moment; promoting then would only roll commits back.
+        When a network partition between domains ends, the last VMs confirm that they
+        stopped using the old primary at the same moment as it answers again. Promoting
+        a replica then would roll back commits needlessly.
         """
-        is_unharmed = old.term == self.term and not self.refused_ids
-        by_choice = self.is_planned or self.is_resumed or self.is_by_votes
-        return is_unharmed and not by_choice
+        is_unchanged = old.term == self.term and not self.refused_ids
+        must_replace = self.is_planned or self.is_resumed or self.is_failed_by_vote
+        return is_unchanged and not must_replace
 
-    def _asked(self) -> tuple[str, ...]:
-        return (*self.candidates, self.old_id)
+    def _status_targets(self) -> tuple[str, ...]:
+        return (*self.candidates, self.old_primary_id)
 
-    def _leader_elsewhere(self) -> str | None:
+    def _promoted_candidate(self) -> str | None:
         for target_id in self.candidates:
             status = self.status_by_id.get(target_id)
             if status and status.is_primary and status.term > self.term:
@@ -217,14 +225,14 @@
         return None
 
     def _most_advanced(self) -> str | None:
-        known = [
+        compared = [
             target_id
             for target_id in self.candidates
             if target_id in self.status_by_id and target_id not in self.refused_ids
         ]
-        if not known:
+        if not compared:
             return None
-        return max(known, key=lambda key: self.status_by_id[key].received)
+        return max(compared, key=lambda key: self.status_by_id[key].received)
 
     def _is_caught_up(self, target_id: str) -> bool:
         if not self.is_planned or self.final_position is None:
--- a/packages/guavabarrow-core/src/guavabarrow_core/rendezvous.py
+++ b/packages/guavabarrow-core/src/guavabarrow_core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who holds a duty, without any agreement.
+"""Rendezvous hashing: assigns a duty to a member without communication.
 
 Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
 IEEE/ACM Transactions on Networking 6(1), 1998.
@@ -14,8 +14,8 @@
     from collections.abc import Iterable
 
 
-def ranked(duty: str, members: Iterable[str]) -> list[str]:
-    """Rank members for a duty, the holder first.
+def rank_members(duty: str, members: Iterable[str]) -> list[str]:
+    """Rank members for a duty, the preferred one first.
 
     Parameters
     ----------
@@ -27,12 +27,12 @@
     Returns
     -------
     list of str
-        All members, by descending weight.
+        All members, by descending hash weight.
 
     Examples
     --------
-    >>> before = ranked("ledger", ["a", "b", "c"])
-    >>> after = ranked("ledger", before[1:])
+    >>> before = rank_members("ledger", ["a", "b", "c"])
+    >>> after = rank_members("ledger", before[1:])
     >>> after == before[1:]
     True
     """
@@ -44,5 +44,5 @@
 
 
 def rank_of(duty: str, member: str, members: Iterable[str]) -> int:
-    """Return the rank of ``member`` for ``duty``, 0 for the holder."""
-    return ranked(duty, {*members, member}).index(member)
+    """Return the rank of ``member`` for ``duty``, 0 for the preferred member."""
+    return rank_members(duty, {*members, member}).index(member)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_watch.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/fleet/primary_watch.py
@@ -1,4 +1,4 @@
-"""Watches the primaries while this VM orders promotions."""
+"""Monitors the health of the primaries while this VM holds the promotion duty."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 from guavabarrow_daemon.operations.clock import now_s
 from guavabarrow_daemon.operations.decision_log import log_decision
 from guavabarrow_daemon.targets.interface import TargetUnreachable
-from guavabarrow_daemon.targets.target_questions import TargetQuestions
+from guavabarrow_daemon.targets.target_admin_client import TargetAdminClient
 
 if TYPE_CHECKING:
     from guavabarrow_core.target_directory import TargetEntry
-    from guavabarrow_daemon.fleet.fleet_messages import Pulse
+    from guavabarrow_daemon.fleet.fleet_messages import PeerHeartbeat
 
-PROBE_S = 0.6
-"""Pace of probes of a primary that did not answer this VM otherwise."""
+PROBE_INTERVAL_S = 0.6
+"""Probe interval for a primary that has not answered this VM recently."""
 
-SUSPECT_PROBE_S = 0.15
-"""Pace of probes while there is evidence against a primary or it is being replaced."""
+SUSPECT_PROBE_INTERVAL_S = 0.15
+"""Probe interval for a primary that is suspected or is being replaced."""
 
-IDLE_PROBE_S = 2.0
-"""Pace of probes of a primary that answered the last one."""
+IDLE_PROBE_INTERVAL_S = 2.0
+"""Probe interval for a primary that answered the last probe."""
 
 
 class PrimaryWatch(Service):
-    """Evidence about each service's primary."""
+    """Failure detector for the primary of each service."""
 
     name = "primary_watch"
 
@@ -43,27 +43,29 @@
         self._directory = kernel.find(DirectoryService)
         self._links = kernel.find(PeerLinks)
         self._duty = kernel.find(DutyService)
-        self._questions = TargetQuestions(self._directory.create_codec, reactor)
+        self._admin_client = TargetAdminClient(self._directory.create_codec, reactor)
         self._evidence_by_id: dict[str, PrimaryEvidence] = {}
         self._probing: set[str] = set()
 
     async def start(self) -> None:
-        """Begin to watch."""
-        self._fleet.on_pulse.append(self._on_pulse)
+        """Subscribe to heartbeats and to the checks of the duty holder."""
+        self._fleet.on_heartbeat.append(self._on_heartbeat)
         self._duty.on_check.append(self._check)
 
-    def is_lost(self, target_id: str, now: float) -> bool:
-        """Tell whether a primary should be replaced."""
+    def is_failed(self, target_id: str, now: float) -> bool:
+        """Return whether a primary has failed and should be replaced."""
         evidence = self._evidence(target_id)
-        contacts = self._links.contacts()
-        return evidence.is_lost(now, votes=evidence.votes(now), others=len(contacts))
+        live_peers = self._links.live_peers()
+        return evidence.is_failed(
+            now, votes=evidence.votes(now), others=len(live_peers)
+        )
 
-    def is_back(self, target_id: str, now: float) -> bool:
-        """Tell whether a primary lately answered a probe."""
-        return self._evidence(target_id).is_back(now)
+    def is_reachable(self, target_id: str, now: float) -> bool:
+        """Return whether a primary answered a recent probe."""
+        return self._evidence(target_id).is_reachable(now)
 
     def describe(self, target_id: str, now: float) -> str:
-        """Return the evidence in words."""
+        """Return the evidence as text for the log."""
         evidence = self._evidence(target_id)
         probe = evidence.probe.value if evidence.probe else "none"
         age_s = now - evidence.probed_at
@@ -72,56 +74,58 @@
     def _evidence(self, target_id: str) -> PrimaryEvidence:
         return self._evidence_by_id.setdefault(target_id, PrimaryEvidence())
 
-    def _on_pulse(self, vm: str, pulse: Pulse) -> None:
+    def _on_heartbeat(self, vm: str, heartbeat: PeerHeartbeat) -> None:
         now = now_s()
-        for known in self._fleet.state.row_by_key.values():
-            if isinstance(known.row, LeadRow):
-                target_id = known.row.primary_id
+        for versioned in self._fleet.state.row_by_key.values():
+            if isinstance(versioned.row, LeadRow):
+                target_id = versioned.row.primary_id
                 self._evidence(target_id).record_vote(
-                    vm, target_id not in pulse.suspected, now
+                    vm, target_id not in heartbeat.suspected, now
                 )
 
     def _check(self, now: float) -> None:
         primaries = set()
-        for known in list(self._fleet.state.row_by_key.values()):
-            lead = known.row
-            if not isinstance(lead, LeadRow):
+        for versioned in list(self._fleet.state.row_by_key.values()):
+            primary_row = versioned.row
+            if not isinstance(primary_row, LeadRow):
                 continue
-            primaries.add(lead.primary_id)
-            entry = self._directory.last_entry(lead.primary_id)
-            if entry is not None and self._is_due(lead, now):
-                self._probing.add(lead.primary_id)
+            primaries.add(primary_row.primary_id)
+            entry = self._directory.last_known_entry(primary_row.primary_id)
+            if entry is not None and self._is_due(primary_row, now):
+                self._probing.add(primary_row.primary_id)
                 Deferred.fromCoroutine(self._probe(entry))
         for target_id in set(self._evidence_by_id) - primaries:
             del self._evidence_by_id[target_id]
 
-    def _is_due(self, lead: LeadRow, now: float) -> bool:
-        target_id = lead.primary_id
+    def _is_due(self, primary_row: LeadRow, now: float) -> bool:
+        target_id = primary_row.primary_id
         if target_id in self._probing:
             return False
         evidence = self._evidence(target_id)
         pool = self._directory.pool_by_id.get(target_id)
         is_suspected = (
-            lead.phase is LeadPhase.MOVING
+            primary_row.phase is LeadPhase.MOVING
             or evidence.votes(now) > 0
             or target_id in self._directory.suspected()
         )
         if is_suspected:
-            return now - evidence.probed_at >= SUSPECT_PROBE_S
-        if pool is not None and pool.is_answering(now):
+            return now - evidence.probed_at >= SUSPECT_PROBE_INTERVAL_S
+        if pool is not None and pool.answered_recently(now):
             evidence.record_probe(ProbeResult.ANSWERED, now)
             return False
-        was_good = evidence.probe is ProbeResult.ANSWERED
-        return now - evidence.probed_at >= (IDLE_PROBE_S if was_good else PROBE_S)
+        was_answered = evidence.probe is ProbeResult.ANSWERED
+        return now - evidence.probed_at >= (
+            IDLE_PROBE_INTERVAL_S if was_answered else PROBE_INTERVAL_S
+        )
 
     async def _probe(self, entry: TargetEntry) -> None:
         result = ProbeResult.ANSWERED
         try:
-            connection = await self._questions.dial(entry)
+            connection = await self._admin_client.open_connection(entry)
             connection.close()
-            lead = self._fleet.state.lead(entry.service)
-            if lead is not None and lead.phase is LeadPhase.MOVING:
-                self._directory.prove(entry)
+            primary_row = self._fleet.state.primary_row(entry.service)
+            if primary_row is not None and primary_row.phase is LeadPhase.MOVING:
+                self._directory.confirm_entry(entry)
         except TargetUnreachable as error:
             result = ProbeResult.REFUSED if error.is_refused else ProbeResult.SILENT
             log_decision(
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_admission.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_admission.py
@@ -1,27 +1,30 @@
-"""Which route and team a session has, and what its answers count as."""
+"""Resolves routes and teams of sessions, and records answers in metrics and log."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from guavabarrow_core.exceptions import SessionFailure
+from guavabarrow_core.exceptions import SessionError
 from guavabarrow_core.session_messages import FailureCode, StatementRequest
 from guavabarrow_daemon.fleet.fleet_service import FleetService
 from guavabarrow_daemon.fleet.rate_service import RateService
 from guavabarrow_daemon.kernel import Kernel, Service
 from guavabarrow_daemon.operations.clock import now_s
-from guavabarrow_daemon.operations.decision_log import SUCCESS_SAMPLE, log_decision
+from guavabarrow_daemon.operations.decision_log import (
+    SUCCESS_LOG_INTERVAL,
+    log_decision,
+)
 from guavabarrow_daemon.operations.session_metrics import SessionMetrics
 
 if TYPE_CHECKING:
     from guavabarrow_core.session_configuration import Route, SessionConfiguration
 
-OPEN_TEAM = "-"
-"""Told to targets where a route needs no key and none was given."""
+ANONYMOUS_TEAM = "-"
+"""Team sent to targets for callers without a known key on an open route."""
 
 
 class SessionAdmission(Service):
-    """Routes and teams of connected sessions."""
+    """Access checks and answer statistics of connected sessions."""
 
     name = "session_admission"
 
@@ -34,7 +37,7 @@
 
     @property
     def configuration(self) -> SessionConfiguration | None:
-        """Version in force."""
+        """Configuration in force."""
         return self._fleet.configuration
 
     def look_up(self, database: str, key: str) -> tuple[Route, str]:
@@ -42,31 +45,32 @@
 
         Raises
         ------
-        SessionFailure
-            If either is unknown.
+        SessionError
+            If the database is unknown, the key is unknown on a route that requires one,
+            or there is no configuration yet.
         """
         configuration = self._fleet.configuration
         if configuration is None:
-            raise SessionFailure(FailureCode.OVERLOADED, "not configured yet")
+            raise SessionError(FailureCode.OVERLOADED, "no configuration yet")
         route = configuration.route_by_database.get(database)
         if route is None:
-            raise SessionFailure(FailureCode.UNKNOWN_DATABASE, "unknown database")
+            raise SessionError(FailureCode.UNKNOWN_DATABASE, "unknown database")
         team = configuration.team_by_key.get(key)
         if team is None:
             if not route.is_open:
-                raise SessionFailure(FailureCode.UNAUTHORIZED, "unknown key")
-            team = OPEN_TEAM
+                raise SessionError(FailureCode.UNAUTHORIZED, "unknown key")
+            team = ANONYMOUS_TEAM
         return route, team
 
     def is_withdrawn(self, key: str, database: str) -> bool:
-        """Tell whether a session's key or route is no longer in force."""
+        """Return whether a session's key or route is no longer in force."""
         try:
             self.look_up(database, key)
-        except SessionFailure:
+        except SessionError:
             return True
         return False
 
-    def count(
+    def record_answer(
         self,
         route: Route | None,
         request: StatementRequest,
@@ -74,7 +78,7 @@
         received_at: float,
         detail: str,
     ) -> None:
-        """Count an answer and log failures, and a sample of successes."""
+        """Update the metrics, and log every failure and a sample of successes."""
         elapsed_s = now_s() - received_at
         consistency = route.consistency.value if route else "none"
         outcome = "completed" if result == "completed" else "failed"
@@ -82,7 +86,7 @@
         self._metrics.latency.labels(consistency, outcome).observe(elapsed_s)
         if result == "completed":
             self._successes += 1
-            if self._successes % SUCCESS_SAMPLE:
+            if self._successes % SUCCESS_LOG_INTERVAL:
                 return
         log_decision(
             "statement_answered",
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_router.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/front/session_router.py
@@ -1,8 +1,8 @@
 """Runs the statements of connected sessions on targets.
 
-Reads go to the target that is expected to answer first among those that are provably
-fresh enough; writes and plain transactions go to the primary. What may have run is
-never repeated unless it only reads.
+Reads go to the target with the lowest expected response time among those that are
+provably fresh enough; writes and read-write transactions go to the primary. Only reads
+are retried after they may have run.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from twisted.internet.defer import TimeoutError
 from twisted.internet.task import deferLater
 
-from guavabarrow_core.exceptions import SessionFailure
+from guavabarrow_core.exceptions import SessionError
 from guavabarrow_core.session_messages import (
     FailureCode,
     Reply,
@@ -21,24 +21,25 @@
     TransactionState,
 )
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
-from guavabarrow_daemon.fleet.lead_service import LeadService
-from guavabarrow_daemon.front.target_chooser import RETRY_ADVICE_S, TargetChooser
+from guavabarrow_daemon.fleet.primary_service import PrimaryService
+from guavabarrow_daemon.front.statement_context import OpenTransaction, StatementContext
+from guavabarrow_daemon.front.target_chooser import RETRY_AFTER_S, TargetChooser
 from guavabarrow_daemon.front.target_exchange import TargetExchange
-from guavabarrow_daemon.front.work import OpenTransaction, Work
 from guavabarrow_daemon.kernel import Kernel, Service
 from guavabarrow_daemon.operations.clock import now_s
-from guavabarrow_daemon.targets.interface import TargetBroken
+from guavabarrow_daemon.targets.interface import TargetConnectionBroken
 
 if TYPE_CHECKING:
     from guavabarrow_core.log_position import LogPosition
     from guavabarrow_core.session_values import PreparedShape
     from guavabarrow_daemon.targets.session_pool import SessionPool
 
-BUSY_PAUSE_S = 0.02
-"""Pause before a target that had no slot is asked again; half a statement."""
+OVERLOADED_PAUSE_S = 0.02
+"""Pause before a retry at a target that had no free slot: half the time of a
+statement."""
 
 MAX_READ_ATTEMPTS = 5
-"""Targets are three; lagging replicas are asked again."""
+"""Three targets, and further attempts at replicas that lagged behind."""
 
 
 class SessionRouter(Service):
@@ -49,7 +50,7 @@
     def __init__(self, kernel: Kernel, reactor: Any) -> None:
         super().__init__(kernel)
         self._reactor = reactor
-        self._lead = kernel.find(LeadService)
+        self._primary_service = kernel.find(PrimaryService)
         self._chooser = kernel.find(TargetChooser)
         self._exchange = kernel.find(TargetExchange)
         self._codec = kernel.find(DirectoryService).create_codec()
@@ -57,35 +58,40 @@
     # Single statements
 
     async def run_read(
-        self, work: Work, statement: Statement, shape: PreparedShape | None
+        self,
+        context: StatementContext,
+        statement: Statement,
+        shape: PreparedShape | None,
     ) -> Reply:
-        """Run a statement that only reads, on any target that is fresh enough.
+        """Run a read-only statement on any target that is fresh enough.
 
         Raises
         ------
-        SessionFailure
-            If no target answered it.
+        SessionError
+            If no target could run it.
         """
         failed: set[str] = set()
-        failure = SessionFailure(FailureCode.OVERLOADED, "No target can be used.")
+        failure = SessionError(FailureCode.OVERLOADED, "No target can be used.")
         for _ in range(MAX_READ_ATTEMPTS):
-            pool, after = await self._chooser.choose_reader(work, failed)
+            pool, after = await self._chooser.choose_read_target(context, failed)
             try:
-                return await self._read_once(work, statement, shape, pool, after)
-            except SessionFailure as error:
+                return await self._read_once(context, statement, shape, pool, after)
+            except SessionError as error:
                 failure = error
-                work.trail.append(f"{pool.entry.target_id}:{error.code.value}")
-            if work.remaining_s <= 0:
+                context.failed_attempts.append(
+                    f"{pool.entry.target_id}:{error.code.value}"
+                )
+            if context.remaining_s <= 0:
                 break
             if failure.code is FailureCode.BEHIND:
-                self._chooser.note_behind(pool.entry.target_id)
+                self._chooser.mark_behind(pool.entry.target_id)
             else:
                 failed.add(pool.entry.target_id)
         raise failure
 
     async def _read_once(
         self,
-        work: Work,
+        context: StatementContext,
         statement: Statement,
         shape: PreparedShape | None,
         pool: SessionPool,
@@ -95,115 +101,136 @@
         pool.load.running += 1
         try:
             connection = await pool.acquire(
-                work.team, priority=work.route.priority, deadline=work.hold_until
+                context.team,
+                priority=context.route.priority,
+                deadline=context.acquire_deadline,
             )
-            if at_primary and not self._lead.may_use(
-                work.route.service, pool.entry.target_id
+            if at_primary and not self._primary_service.may_use(
+                context.route.service, pool.entry.target_id
             ):
                 pool.release(connection)
-                raise SessionFailure(FailureCode.BEHIND, "The primary moved.")
-            data, preparations = self._exchange.prepare(work, connection, shape)
+                raise SessionError(FailureCode.BEHIND, "The primary was replaced.")
+            data, restore_count = self._exchange.restore_session(
+                context, connection, shape
+            )
             data += self._codec.encode_statement(
-                work.request_id,
+                context.request_id,
                 statement,
                 prepared_name=shape.shared_name if shape else "",
                 after=after,
             )
-            reply = await self._exchange.run(work, connection, pool, data, preparations)
+            reply = await self._exchange.run(
+                context, connection, pool, data, restore_count
+            )
         finally:
             pool.load.running -= 1
-        if at_primary and not self._lead.may_use(
-            work.route.service, pool.entry.target_id
+        if at_primary and not self._primary_service.may_use(
+            context.route.service, pool.entry.target_id
         ):
-            raise SessionFailure(FailureCode.BEHIND, "The primary moved meanwhile.")
+            raise SessionError(
+                FailureCode.BEHIND, "The primary was replaced during the read."
+            )
         if reply.failure is not None:
-            raise SessionFailure(reply.failure.code, reply.failure.detail)
+            raise SessionError(reply.failure.code, reply.failure.detail)
         return reply
 
     async def run_write(
-        self, work: Work, statement: Statement, shape: PreparedShape | None
+        self,
+        context: StatementContext,
+        statement: Statement,
+        shape: PreparedShape | None,
     ) -> Reply:
-        """Run a single write at the primary.
+        """Run a single write on the primary.
 
         Raises
         ------
-        SessionFailure
-            If it did not run, or may have run.
+        SessionError
+            If the write wasn't run, or its outcome is unknown.
         """
         while True:
-            pool, connection = await self._chooser.acquire_primary(work)
-            service = work.route.service
-            data, preparations = self._exchange.prepare(work, connection, shape)
+            pool, connection = await self._chooser.acquire_primary(context)
+            service = context.route.service
+            data, restore_count = self._exchange.restore_session(
+                context, connection, shape
+            )
             data += self._codec.encode_statement(
-                work.request_id,
+                context.request_id,
                 statement,
                 prepared_name=shape.shared_name if shape else "",
             )
-            self._lead.enter(service)
+            self._primary_service.begin_work(service)
             pool.load.running += 1
             try:
                 reply = await self._exchange.run(
-                    work, connection, pool, data, preparations, is_write=True
+                    context, connection, pool, data, restore_count, is_write=True
                 )
-                is_valid = self._lead.may_use(service, pool.entry.target_id)
+                is_valid = self._primary_service.may_use(service, pool.entry.target_id)
             finally:
-                self._lead.leave(service)
+                self._primary_service.end_work(service)
                 pool.load.running -= 1
             failure = reply.failure
             if failure is None and not is_valid:
-                raise SessionFailure(
+                raise SessionError(
                     FailureCode.OUTCOME_UNKNOWN,
-                    "The primary was replaced while the write ran.",
+                    "The primary was replaced during the write.",
                 )
             if failure is None:
                 return reply
-            work.trail.append(f"{pool.entry.target_id}:{failure.code.value}")
-            if failure.code is FailureCode.OVERLOADED and work.remaining_s > 0.1:
-                await deferLater(self._reactor, BUSY_PAUSE_S, lambda: None)
+            context.failed_attempts.append(
+                f"{pool.entry.target_id}:{failure.code.value}"
+            )
+            if failure.code is FailureCode.OVERLOADED and context.remaining_s > 0.1:
+                await deferLater(self._reactor, OVERLOADED_PAUSE_S, lambda: None)
                 continue
-            raise SessionFailure(failure.code, failure.detail)
+            raise SessionError(failure.code, failure.detail)
 
     # Transactions
 
-    async def begin(self, work: Work, *, is_read_only: bool) -> OpenTransaction:
-        """Open a transaction on a target and keep its connection.
+    async def begin(
+        self, context: StatementContext, *, is_read_only: bool
+    ) -> OpenTransaction:
+        """Open a transaction on a target and reserve its connection.
 
         Raises
         ------
-        SessionFailure
-            If none could be opened; nothing has run.
+        SessionError
+            If none could be opened; nothing was run.
         """
         kind = StatementKind.BEGIN_READ_ONLY if is_read_only else StatementKind.BEGIN
         statement = Statement(kind, "BEGIN READ" if is_read_only else "BEGIN")
         failed: set[str] = set()
-        failure = SessionFailure(FailureCode.OVERLOADED, "No target can be used.")
+        failure = SessionError(FailureCode.OVERLOADED, "No target can be used.")
         for _ in range(MAX_READ_ATTEMPTS):
             after = None
             if is_read_only:
-                pool, after = await self._chooser.choose_reader(work, failed)
+                pool, after = await self._chooser.choose_read_target(context, failed)
                 connection = await pool.acquire(
-                    work.team, priority=work.route.priority, deadline=work.hold_until
+                    context.team,
+                    priority=context.route.priority,
+                    deadline=context.acquire_deadline,
                 )
             else:
-                pool, connection = await self._chooser.acquire_primary(work)
+                pool, connection = await self._chooser.acquire_primary(context)
             target_id = pool.entry.target_id
-            service = work.route.service
-            if after is None and not self._lead.may_use(service, target_id):
+            service = context.route.service
+            if after is None and not self._primary_service.may_use(service, target_id):
                 pool.release(connection)
                 continue
-            data, preparations = self._exchange.prepare(work, connection, None)
+            data, restore_count = self._exchange.restore_session(
+                context, connection, None
+            )
             data += self._codec.encode_statement("", statement, after=after)
             try:
                 reply = await self._exchange.run(
-                    work,
+                    context,
                     connection,
                     pool,
                     data,
-                    preparations,
-                    keeps=True,
-                    preparations_only=True,
+                    restore_count,
+                    keep_connection=True,
+                    setup_only=True,
                 )
-            except SessionFailure as error:
+            except SessionError as error:
                 failure = error
                 failed.add(target_id)
                 continue
@@ -212,17 +239,17 @@
                     connection, pool, service, at_primary=after is None
                 )
                 if transaction.at_primary:
-                    self._lead.enter(service)
+                    self._primary_service.begin_work(service)
                 return transaction
             if connection.is_open:
-                self._exchange.give_back(connection, pool)
+                self._exchange.release_connection(connection, pool)
             code = reply.failure.code if reply.failure else FailureCode.FAILED
-            work.trail.append(f"{target_id}:{code.value}")
-            failure = SessionFailure(FailureCode.OVERLOADED, f"No transaction: {code}.")
+            context.failed_attempts.append(f"{target_id}:{code.value}")
+            failure = SessionError(FailureCode.OVERLOADED, f"BEGIN failed: {code}.")
             if code is FailureCode.BEHIND:
-                self._chooser.note_behind(target_id)
-            elif code is FailureCode.OVERLOADED and work.remaining_s > 0.1:
-                await deferLater(self._reactor, BUSY_PAUSE_S, lambda: None)
+                self._chooser.mark_behind(target_id)
+            elif code is FailureCode.OVERLOADED and context.remaining_s > 0.1:
+                await deferLater(self._reactor, OVERLOADED_PAUSE_S, lambda: None)
             else:
                 failed.add(target_id)
                 if not is_read_only:
@@ -231,7 +258,7 @@
 
     async def run_in_transaction(
         self,
-        work: Work,
+        context: StatementContext,
         transaction: OpenTransaction,
         statement: Statement,
         shape: PreparedShape | None,
@@ -240,71 +267,73 @@
 
         Raises
         ------
-        SessionFailure
-            If the transaction is over; it is rolled back.
+        SessionError
+            If the transaction can't go on and is rolled back, or if the outcome of
+            COMMIT is unknown.
         """
         connection = transaction.connection
         is_commit = statement.kind is StatementKind.COMMIT
         target_id = transaction.pool.entry.target_id
         if not connection.is_open or (
-            transaction.at_primary and not self._lead_allows(transaction, statement)
+            transaction.at_primary and not self._may_run(transaction, statement)
         ):
             self.end(transaction)
-            raise SessionFailure(
+            raise SessionError(
                 FailureCode.ABORTED,
-                "The connection of the transaction is gone; it is rolled back.",
-                retry_after_s=RETRY_ADVICE_S,
+                "The transaction lost its connection or primary and is rolled back.",
+                retry_after_s=RETRY_AFTER_S,
             )
-        data, preparations = self._exchange.prepare(work, connection, shape)
+        data, restore_count = self._exchange.restore_session(context, connection, shape)
         data += self._codec.encode_statement(
-            work.request_id,
+            context.request_id,
             statement,
             prepared_name=shape.shared_name if shape else "",
         )
         try:
             reply = await self._exchange.run(
-                work,
+                context,
                 connection,
                 transaction.pool,
                 data,
-                preparations,
+                restore_count,
                 is_write=is_commit,
-                keeps=True,
+                keep_connection=True,
             )
-        except SessionFailure as error:
+        except SessionError as error:
             self.end(transaction)
             if is_commit:
                 raise
-            raise SessionFailure(
+            raise SessionError(
                 FailureCode.ABORTED,
                 f"Rolled back: {error.detail}",
-                retry_after_s=RETRY_ADVICE_S,
+                retry_after_s=RETRY_AFTER_S,
             ) from error
-        still_leads = not transaction.at_primary or self._lead.may_use(
+        is_still_primary = not transaction.at_primary or self._primary_service.may_use(
             transaction.service, target_id
         )
-        if reply.failure is None and not still_leads and is_commit:
+        if reply.failure is None and not is_still_primary and is_commit:
             self.end(transaction)
-            raise SessionFailure(
+            raise SessionError(
                 FailureCode.OUTCOME_UNKNOWN,
-                "The primary was replaced while the commit ran.",
+                "The primary was replaced during the commit.",
             )
         if is_commit or reply.ready.state is TransactionState.IDLE:
             self.end(transaction)
         return reply
 
-    def _lead_allows(self, transaction: OpenTransaction, statement: Statement) -> bool:
+    def _may_run(self, transaction: OpenTransaction, statement: Statement) -> bool:
         target_id = transaction.pool.entry.target_id
-        if self._lead.may_use(transaction.service, target_id):
+        if self._primary_service.may_use(transaction.service, target_id):
             return True
-        # Statements of a running transaction may end it during a planned move.
-        lead = self._lead.moving_planned(transaction.service)
-        return lead == target_id and statement.kind is not StatementKind.COMMIT
+        # During a planned switchover, open transactions may continue on the old
+        # primary, but not commit.
+        draining_id = self._primary_service.draining_primary(transaction.service)
+        return draining_id == target_id and statement.kind is not StatementKind.COMMIT
 
     async def roll_back(self, transaction: OpenTransaction) -> None:
-        """Roll a transaction back and free its connection."""
+        """Roll back a transaction and return its connection to the pool."""
         connection = transaction.connection
-        if transaction.has_left:
+        if transaction.has_ended:
             return
         if not connection.is_open or connection.has_pending:
             connection.abort()
@@ -315,15 +344,15 @@
         sent.addTimeout(1.0, self._reactor)
         try:
             await sent
-        except (TargetBroken, TimeoutError):
+        except (TargetConnectionBroken, TimeoutError):
             connection.abort()
         self.end(transaction)
 
     def end(self, transaction: OpenTransaction) -> None:
-        """Free the connection of a transaction that is over."""
-        if transaction.has_left:
+        """End a transaction and return its connection to the pool."""
+        if transaction.has_ended:
             return
-        transaction.has_left = True
+        transaction.has_ended = True
         if transaction.at_primary:
-            self._lead.leave(transaction.service)
-        self._exchange.give_back(transaction.connection, transaction.pool)
+            self._primary_service.end_work(transaction.service)
+        self._exchange.release_connection(transaction.connection, transaction.pool)
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/beliefs.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/operations/beliefs.py
@@ -1,4 +1,4 @@
-"""What a VM believes now, for operators."""
+"""Local view of a VM, served to operators for diagnostics."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from guavabarrow_daemon.fleet.directory_service import DirectoryService
 from guavabarrow_daemon.fleet.duty_service import DutyService
 from guavabarrow_daemon.fleet.fleet_service import FleetService
-from guavabarrow_daemon.fleet.lead_service import LeadService
 from guavabarrow_daemon.fleet.peer_links import PeerLinks
+from guavabarrow_daemon.fleet.primary_service import PrimaryService
 from guavabarrow_daemon.fleet.rate_service import RateService
 
 if TYPE_CHECKING:
     from guavabarrow_daemon.kernel import Kernel
 
 
-class MemberBelief(msgspec.Struct, frozen=True):
-    """One registered VM."""
+class MemberView(msgspec.Struct, frozen=True):
+    """A registered VM, as this VM sees it."""
 
     vm: str
     domain: str
@@ -27,8 +27,8 @@
     is_in_contact: bool
 
 
-class PrimaryBelief(msgspec.Struct, frozen=True):
-    """Primary of one service; ``may_be_used`` is this VM's own right."""
+class PrimaryView(msgspec.Struct, frozen=True):
+    """Primary of a service; ``may_be_used`` is true if this VM may use it now."""
 
     service: str
     target: str
@@ -37,8 +37,8 @@
     may_be_used: bool
 
 
-class TargetBelief(msgspec.Struct, frozen=True):
-    """One registered target, with evidence against it if there is any."""
+class TargetView(msgspec.Struct, frozen=True):
+    """A registered target; ``evidence`` is recent evidence of a failure, if any."""
 
     target: str
     service: str
@@ -47,27 +47,28 @@
     evidence: str
 
 
-class Beliefs(msgspec.Struct, frozen=True):
-    """Everything that decides where a VM's statements go.
+class LocalView(msgspec.Struct, frozen=True):
+    """Cached state that determines how a VM routes statements.
 
     Parameters
     ----------
     vm, incarnation : str
-        The VM and its lifetime.
+        Name and process incarnation of the VM.
     table_age_s, targets_age_s : float
-        Ages of the shared table and of the list of targets as known, in s.
+        Ages of the cached shared table and of the cached target list, in s.
     is_registered : bool
-        Whether this lifetime may get rights.
+        Whether this incarnation may obtain leases.
     configuration : int
-        Version in force, 0 if none.
+        Version of the active configuration, 0 if there is none.
     evacuated : list of str
-        Failure domains whose targets get nothing.
+        Failure domains whose targets receive no statements.
     duty_holder : str
-        VM that orders promotions.
+        VM that holds the promotion duty, empty if there is none.
     holds_duty : bool
-        Whether this VM may order them now.
+        Whether this VM may order promotions now.
     pool_host : str
-        VM whose tokens are used for teams' rates, empty if this VM uses its own part.
+        VM whose token pool limits the teams' rates, empty if this VM uses its own
+        share.
     """
 
     vm: str
@@ -80,22 +81,22 @@
     duty_holder: str
     holds_duty: bool
     pool_host: str
-    members: list[MemberBelief]
-    primaries: list[PrimaryBelief]
-    targets: list[TargetBelief]
+    members: list[MemberView]
+    primaries: list[PrimaryView]
+    targets: list[TargetView]
 
 
-def read_beliefs(kernel: Kernel) -> Beliefs:
-    """Return what a VM believes now."""
+def read_local_view(kernel: Kernel) -> LocalView:
+    """Collect the local view of a VM."""
     fleet = kernel.find(FleetService)
-    lead = kernel.find(LeadService)
+    primary_service = kernel.find(PrimaryService)
     directory = kernel.find(DirectoryService)
-    contacts = kernel.find(PeerLinks).contacts()
+    live_peers = kernel.find(PeerLinks).live_peers()
     suspected = directory.suspected()
     state = fleet.state
     duty = state.duty()
-    rows = [known.row for _, known in sorted(state.row_by_key.items())]
-    return Beliefs(
+    rows = [cached.row for _, cached in sorted(state.row_by_key.items())]
+    return LocalView(
         vm=state.vm,
         incarnation=state.incarnation,
         table_age_s=fleet.table_age_s(),
@@ -104,25 +105,25 @@
         configuration=fleet.configuration.version if fleet.configuration else 0,
         evacuated=sorted(fleet.evacuated),
         duty_holder=duty.holder if duty is not None else "",
-        holds_duty=kernel.find(DutyService).may_act(),
+        holds_duty=kernel.find(DutyService).may_order_promotions(),
         pool_host=kernel.find(RateService).rates.host,
         members=[
-            MemberBelief(vm, member.domain, member.is_out, vm in contacts)
+            MemberView(vm, member.domain, member.is_out, vm in live_peers)
             for vm, member in sorted(state.member_by_vm().items())
         ],
         primaries=[
-            PrimaryBelief(
+            PrimaryView(
                 row.service,
                 row.primary_id,
                 row.term,
                 row.phase.value,
-                lead.may_use(row.service, row.primary_id),
+                primary_service.may_use(row.service, row.primary_id),
             )
             for row in rows
             if isinstance(row, LeadRow)
         ],
         targets=[
-            TargetBelief(
+            TargetView(
                 entry.target_id,
                 entry.service,
                 entry.domain,
--- a/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_driver.py
+++ b/packages/guavabarrow-daemon/src/guavabarrow_daemon/targets/session_driver.py
@@ -1,4 +1,4 @@
-"""Opens sessions with targets that speak the line protocol."""
+"""Driver for targets that use the line protocol."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectError, ConnectionRefusedError
 
 from guavabarrow_daemon.targets.interface import (
-    TargetBroken,
+    TargetConnectionBroken,
     TargetDriver,
     TargetUnreachable,
 )
@@ -22,7 +22,7 @@
     from guavabarrow_daemon.session_codec import TargetCodec
 
 CONNECT_TIMEOUT_S = 0.35
-"""A few crossings; a lost opening packet is sent again only after a second."""
+"""A few one-way network delays; a lost SYN packet is retransmitted only after 1 s."""
 
 
 class SessionDriver(TargetDriver[SessionConnection]):
@@ -34,8 +34,8 @@
         Creates the codec of a connection.
     reactor : object
         Reactor that owns the sockets.
-    opening_limit_s : float
-        Time that a reached target has to take the session, in s.
+    open_timeout_s : float
+        Time within which a connected target must accept the session, in s.
     """
 
     def __init__(
@@ -43,42 +43,44 @@
         create_codec: Callable[[], TargetCodec],
         reactor: Any,
         *,
-        opening_limit_s: float,
+        open_timeout_s: float,
     ) -> None:
         self._create_codec = create_codec
         self._reactor = reactor
-        self._opening_limit_s = opening_limit_s
+        self._opening_limit_s = open_timeout_s
 
     async def connect(
-        self, host: str, port: int, opening: OpenSession | None = None
+        self, host: str, port: int, open_message: OpenSession | None = None
     ) -> SessionConnection:
         """Open a session.
 
         Raises
         ------
         ValueError
-            If it is not said whose session.
+            If ``open_message`` is missing.
         TargetRefused
-            If the target does not take it.
-        TargetBroken
-            If the target was reached and did not take it in time.
+            If the target refuses the session.
+        TargetConnectionBroken
+            If the target was reached but did not accept the session in time.
         TargetUnreachable
-            If it was not reached.
+            If no connection to the target could be opened.
         """
-        if opening is None:
-            raise ValueError("A session needs a service and a target.")
-        connection = SessionConnection(self._create_codec(), opening)
+        if open_message is None:
+            raise ValueError("open_message is required to open a session")
+        connection = SessionConnection(self._create_codec(), open_message)
         endpoint = TCP4ClientEndpoint(
             self._reactor, host, port, timeout=CONNECT_TIMEOUT_S
         )
         try:
             await connectProtocol(endpoint, connection)
         except ConnectionRefusedError as error:
-            raise TargetUnreachable("refused", is_refused=True) from error
+            raise TargetUnreachable("connection refused", is_refused=True) from error
         except ConnectError as error:
             raise TargetUnreachable(f"{type(error).__name__}: {error}") from error
         connection.opened.addTimeout(self._opening_limit_s, self._reactor)
         try:
             return await connection.opened
         except (TimeoutError, CancelledError) as error:
-            raise TargetBroken("The target did not take the session.") from error
+            raise TargetConnectionBroken(
+                "The target did not accept the session in time."
+            ) from error
